--- a/crates/bench/benches/crashes.rs
+++ b/crates/bench/benches/crashes.rs
@@ -5,7 +5,7 @@
 
 use std::hint::black_box;
 
-use bankcove_core::crashes::{CrashBook, SETTLE_MS, ServerStart};
+use bankcove_core::crashes::{CrashTracker, DECISION_DELAY_MS, ServerStart};
 use bankcove_core::{Fingerprint, Millis, Name};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
@@ -17,19 +17,19 @@
 
 /// A book after so many crashes, with as many requests aboard of each, all of them different
 /// but for one that three crashes speak against.
-fn book(crashes: usize) -> CrashBook {
-    let mut book = CrashBook::default();
+fn book(crashes: usize) -> CrashTracker {
+    let mut book = CrashTracker::default();
     for crash in 0..crashes {
         let server = ServerStart { name: Name::from(format!("i-{crash:010}")), started_ms: 0 };
         let now = 500 * crash as Millis;
         for place in 0..ABOARD {
             let request = Fingerprint(1_000 + (crash * ABOARD + place) as u128);
-            book.broke_off(now, &server, request);
+            book.record_disconnect(now, &server, request);
         }
         if crash < 3 {
-            book.broke_off(now, &server, Fingerprint(1));
+            book.record_disconnect(now, &server, Fingerprint(1));
         }
-        book.crashed(now, &server);
+        book.record_crash(now, &server);
     }
     book
 }
@@ -57,8 +57,8 @@
         });
         let facts = known.facts(now);
         c.bench_function(&format!("taking in the facts of {crashes} crashes"), |b| {
-            let fresh = || (CrashBook::default(), facts.clone());
-            let take = |(mut book, facts): (CrashBook, _)| book.told(now, facts);
+            let fresh = || (CrashTracker::default(), facts.clone());
+            let take = |(mut book, facts): (CrashTracker, _)| book.merge(now, facts);
             b.iter_batched(fresh, take, BatchSize::SmallInput);
         });
     }
@@ -68,18 +68,18 @@
 const CANDIDATES: usize = 128;
 
 /// A full book, then three crashes with the same requests aboard.
-fn candidates() -> (CrashBook, Millis) {
+fn candidates() -> (CrashTracker, Millis) {
     let mut book = book(CRASHES - 3);
     let mut now = 500 * CRASHES as Millis;
     for crash in 0..3 {
         now += 1_000;
         let server = ServerStart { name: Name::from(format!("j-{crash}")), started_ms: 0 };
         for place in 0..CANDIDATES {
-            book.broke_off(now, &server, Fingerprint(10 + place as u128));
+            book.record_disconnect(now, &server, Fingerprint(10 + place as u128));
         }
-        book.crashed(now, &server);
+        book.record_crash(now, &server);
     }
-    (book, now + SETTLE_MS)
+    (book, now + DECISION_DELAY_MS)
 }
 
 fn decisions(c: &mut Criterion) {
@@ -88,7 +88,7 @@
         b.iter_batched(|| known.clone(), |mut book| book.decide(now), BatchSize::SmallInput);
     });
     c.bench_function("place of one of them", |b| {
-        b.iter(|| known.place(black_box(Fingerprint(10))));
+        b.iter(|| known.placement(black_box(Fingerprint(10))));
     });
 }
 
--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -12,7 +12,9 @@
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::{HintFact, LeavingStarts};
 use bankcove_core::holder::{Draw, Holder, Keeps, Terms};
-use bankcove_core::limits::{ISSUERS, Issuer, LimitBook, LimitWord, Place, RequestRate, Wish};
+use bankcove_core::limits::{
+    ISSUERS_PER_SERVER, Issuer, IssuerRank, LimitHeader, LimitTracker, PermitRequest, RequestRate,
+};
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
 use bankcove_core::owner::{Event as OwnerEvent, Owner, Request};
 use bankcove_core::reqlog::{Entry, Event, RequestLog, Segment};
@@ -170,12 +172,12 @@
 }
 
 /// A book of so many servers that name a limit.
-fn limit_book(servers: usize) -> LimitBook {
-    let mut book = LimitBook::default();
+fn limit_book(servers: usize) -> LimitTracker {
+    let mut book = LimitTracker::default();
     let rate = RequestRate::new(1.2).expect("it is a rate");
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
-        book.heard(10, &server, 0, &LimitWord::Named(rate));
+        book.record_response(10, &server, 0, &LimitHeader::Limit(rate));
     }
     book
 }
@@ -293,7 +295,7 @@
     println!("{:<44} {:>9.2} B", "limit of a server, told", wire_bytes(&fact));
     let leaves = HintFact::Leaving(leaving(1).facts(0, 1, 0).remove(0));
     println!("{:<44} {:>9.2} B", "server that leaves, told", wire_bytes(&leaves));
-    let wish = Wish { from: Incarnation(7_919), permits: 1, urgency: 0 };
+    let wish = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
     let asked = wire_bytes(&(fact, wish));
     let answer = PermitAnswer::none(278);
     println!("{:<44} {:>9.2} B", "permit asked for and answered", asked + wire_bytes(&answer));
@@ -327,10 +329,10 @@
         const ROUNDS: u64 = 10_000;
         let mut book = limit_book(n);
         let server = ServerStart { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
-        let word = LimitWord::Named(RequestRate::new(1.2).expect("it is a rate"));
+        let word = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(book.heard(100 + now, &server, 50 + now, &word));
+            std::hint::black_box(book.record_response(100 + now, &server, 50 + now, &word));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
     });
@@ -342,9 +344,9 @@
         let limit = RequestRate::new(1.2).expect("it is a rate");
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(members.owners_listed(server.key(), ISSUERS));
-            let wish = Wish { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
-            let place = Place { rank: 0, since: 0 };
+            std::hint::black_box(members.owners_listed(server.key(), ISSUERS_PER_SERVER));
+            let wish = PermitRequest { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
+            let place = IssuerRank { rank: 0, since: 0 };
             std::hint::black_box(issuer.issue(10_000 + now, &server, limit, place, wish));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
--- a/crates/bench/src/hint_world.rs
+++ b/crates/bench/src/hint_world.rs
@@ -9,7 +9,7 @@
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::LeavingFact;
-use bankcove_core::limits::Returns;
+use bankcove_core::limits::RetrySchedule;
 use bankcove_core::router::{Choice, Homes, NoServer, Router, Wanted};
 use bankcove_core::table::Table;
 use bankcove_core::{Millis, Name};
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 struct Daemon {
     router: Router,
-    returns: Returns,
+    returns: RetrySchedule,
     /// When it may ask a peer for all that it knows again.
     asks_from: Millis,
 }
@@ -275,7 +275,7 @@
                 let seed = self.rng.random();
                 let returns = &mut self.daemons[req.daemon].returns;
                 let service = Name::from("m");
-                let after = returns.next(now, &service, resting.first_ms, per_second, seed);
+                let after = returns.next_delay(now, &service, resting.first_ms, per_second, seed);
                 self.refuse(req, after);
             }
             Err(_) => self.refuse(req, NO_SERVER_MS),
--- a/crates/bench/src/limit_world.rs
+++ b/crates/bench/src/limit_world.rs
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::limits::{LimitWord, RequestRate};
+use bankcove_core::limits::{LimitHeader, RequestRate};
 use bankcove_core::{Millis, Name};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -236,7 +236,7 @@
         let share = per_second / self.setup.daemons as f64;
         let service = Name::from("pool");
         let seed = self.rng.random();
-        let after = daemon.returns.next(self.now, &service, first_ms, share, seed);
+        let after = daemon.returns.next_delay(self.now, &service, first_ms, share, seed);
         // Callers wait for a third of their time, here of 12 s, and come to any daemon.
         if req.returns >= 2 || after > 4_000 {
             self.out.refused += 1;
@@ -261,7 +261,7 @@
         }
         let named = self.setup.servers[server].iter().rev().find(|(from, _)| *from <= now);
         let limit = named.and_then(|(_, limit)| *limit).and_then(RequestRate::new);
-        let word = limit.map_or(LimitWord::None, LimitWord::Named);
+        let word = limit.map_or(LimitHeader::Absent, LimitHeader::Limit);
         let at = now + self.rng.random_range(10..80);
         self.push(at, Event::Head { daemon, server, asked_at: now, word });
     }
--- a/crates/bench/src/limit_world/asks.rs
+++ b/crates/bench/src/limit_world/asks.rs
@@ -1,6 +1,6 @@
 //! Asks for permits, and the ways without any.
 
-use bankcove_core::limits::{Issued, LimitFact, RequestRate, Wish};
+use bankcove_core::limits::{Issued, LimitFact, PermitRequest, RequestRate};
 use bankcove_core::{Incarnation, Millis};
 
 use super::event::{Event, Req};
@@ -42,8 +42,8 @@
         let issuers = self.fleet.issuers(from, &start, now);
         let daemon = &mut self.daemons[from];
         let fact = daemon.book.fact(now, &start).expect("a limit is known");
-        let permits = daemon.leases.wanted(now, &start);
-        let wish = Wish { from: Incarnation(from as u64), permits, urgency: 0 };
+        let permits = daemon.leases.permits_to_request(now, &start);
+        let wish = PermitRequest { from: Incarnation(from as u64), permits, urgency: 0 };
         if daemon.leases.is_scarce(now, &start) {
             daemon.passed_over[server] = now + ASK_TIMEOUT_MS;
         }
@@ -72,7 +72,7 @@
         to: usize,
         server: usize,
         fact: &LimitFact,
-        wish: Wish,
+        wish: PermitRequest,
         asked_at: Millis,
         ask: u64,
     ) {
@@ -88,7 +88,7 @@
         at: usize,
         server: usize,
         fact: &LimitFact,
-        wish: Wish,
+        wish: PermitRequest,
     ) -> (Issued, bool, Option<LimitFact>) {
         self.take_facts(at, std::slice::from_ref(fact));
         let start = self.starts[server].clone();
@@ -129,7 +129,7 @@
         let Some(req) = self.waiting.remove(&ask) else { return };
         let daemon = &mut self.daemons[req.daemon];
         daemon.passed_over[server] = self.now + retry_ms.max(1);
-        daemon.leases.denied(self.now, &self.starts[server]);
+        daemon.leases.record_denial(self.now, &self.starts[server]);
         self.choose(req);
     }
 
--- a/crates/bench/src/limit_world/event.rs
+++ b/crates/bench/src/limit_world/event.rs
@@ -1,7 +1,7 @@
 //! What happens in a simulated fleet, in order.
 
 use bankcove_core::Millis;
-use bankcove_core::limits::{Issued, LimitFact, LimitWord, Wish};
+use bankcove_core::limits::{Issued, LimitFact, LimitHeader, PermitRequest};
 
 /// A request of a caller.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
         to: usize,
         server: usize,
         fact: LimitFact,
-        wish: Wish,
+        wish: PermitRequest,
         asked_at: Millis,
         ask: u64,
     },
@@ -46,7 +46,7 @@
         daemon: usize,
         server: usize,
         asked_at: Millis,
-        word: LimitWord,
+        word: LimitHeader,
     },
     Told {
         to: usize,
--- a/crates/bench/src/limit_world/fleet.rs
+++ b/crates/bench/src/limit_world/fleet.rs
@@ -5,7 +5,9 @@
 use bankcove_core::Millis;
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::id::rendezvous_score;
-use bankcove_core::limits::{ISSUERS, Issuer, Leases, LimitBook, Place, Returns};
+use bankcove_core::limits::{
+    ISSUERS_PER_SERVER, Issuer, IssuerRank, Leases, LimitTracker, RetrySchedule,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -17,10 +19,10 @@
 /// One daemon.
 #[derive(Debug, Default)]
 pub struct Daemon {
-    pub book: LimitBook,
+    pub book: LimitTracker,
     pub issuer: Issuer,
     pub leases: Leases,
-    pub returns: Returns,
+    pub returns: RetrySchedule,
     /// Servers that get nothing until then.
     pub passed_over: Vec<Millis>,
     /// Issuers that did not answer, until then.
@@ -86,15 +88,21 @@
             .map(|daemon| (rendezvous_score(server.key(), self.keys[daemon]), daemon))
             .collect();
         ranked.sort_unstable_by_key(|(score, _)| std::cmp::Reverse(*score));
-        ranked.into_iter().take(ISSUERS).map(|(_, daemon)| daemon).collect()
+        ranked.into_iter().take(ISSUERS_PER_SERVER).map(|(_, daemon)| daemon).collect()
     }
 
     /// What this daemon is to the server, by its own view.
-    pub fn place(&self, at: usize, server: &ServerStart, now: Millis, started: Millis) -> Place {
+    pub fn place(
+        &self,
+        at: usize,
+        server: &ServerStart,
+        now: Millis,
+        started: Millis,
+    ) -> IssuerRank {
         let rank = self.issuers(at, server, now).iter().position(|issuer| *issuer == at);
         let ends = self.away.iter().flatten().flat_map(|(from, until)| [*from, *until]);
         let seen = ends.map(|end| end + self.lags[at]).filter(|seen| *seen <= now);
         let since = seen.max().unwrap_or_default().max(started);
-        Place { rank: rank.unwrap_or(usize::MAX), since }
+        IssuerRank { rank: rank.unwrap_or(usize::MAX), since }
     }
 }
--- a/crates/bench/src/limit_world/told.rs
+++ b/crates/bench/src/limit_world/told.rs
@@ -1,7 +1,7 @@
 //! What answers say of limits, and how daemons tell each other.
 
 use bankcove_core::Millis;
-use bankcove_core::limits::{LimitFact, LimitWord};
+use bankcove_core::limits::{LimitFact, LimitHeader};
 use rand::Rng;
 
 use super::event::Event;
@@ -19,14 +19,14 @@
         daemon: usize,
         server: usize,
         asked_at: Millis,
-        word: &LimitWord,
+        word: &LimitHeader,
     ) {
-        if matches!(word, LimitWord::Named(_)) {
+        if matches!(word, LimitHeader::Limit(_)) {
             self.named_at[server].get_or_insert(self.now);
             self.told_at.entry((daemon, server)).or_insert(self.now);
         }
         let start = self.starts[server].clone();
-        let change = self.daemons[daemon].book.heard(self.now, &start, asked_at, word);
+        let change = self.daemons[daemon].book.record_response(self.now, &start, asked_at, word);
         if let Some(change) = change {
             self.take_change(daemon, change.fact);
         }
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn take_facts(&mut self, daemon: usize, facts: &[LimitFact]) {
-        let changes = self.daemons[daemon].book.told(self.now, facts);
+        let changes = self.daemons[daemon].book.merge(self.now, facts);
         for change in changes {
             self.take_change(daemon, change.fact);
         }
@@ -77,7 +77,7 @@
         let waited = GATHER_MS.min(self.now - sent_at);
         for fact in &mut facts {
             fact.asked_age_ms += waited;
-            fact.heard_age_ms += waited;
+            fact.received_age_ms += waited;
         }
         self.take_facts(to, &facts);
     }
--- a/crates/core/src/crashes/deciding.rs
+++ b/crates/core/src/crashes/decision.rs
@@ -8,37 +8,37 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::book::CrashBook;
 use super::facts::{Block, CrashFacts};
-use super::record::Evidence;
+use super::history::Evidence;
+use super::tracker::CrashTracker;
 use crate::{Fingerprint, Millis, Name};
 
 /// Servers that may crash under one request: one crash has any cause, two happen to a caller
 /// that comes again at a bad moment, three with no success in between hardly do.
-pub const BLOCKED_AFTER: usize = 3;
+pub const CRASHES_TO_BLOCK: usize = 3;
 
 /// Servers that may crash under one request beside another with the same crashes.
-const BLOCKED_BESIDE_AN_EQUAL_AFTER: usize = BLOCKED_AFTER + 1;
+const CRASHES_TO_BLOCK_BESIDE_EQUAL: usize = CRASHES_TO_BLOCK + 1;
 
 /// Moments in which they crash at the least: what a caller repeats on all servers of a pool
 /// that is lost at once has crashed none of them.
-const MOMENTS: usize = 2;
+const MIN_MOMENTS: usize = 2;
 
 /// Time from the word of a crash to the decision, in milliseconds: a port that outlives its
 /// process is found out after some 130 ms, and news reach 300 daemons in some 300 ms more.
-pub const SETTLE_MS: Millis = 600;
+pub const DECISION_DELAY_MS: Millis = 600;
 
 /// Servers that requests with the same crashes are spread over at most: each costs a further choice.
-const MOST_PLACES: usize = 8;
+const MAX_PLACES: usize = 8;
 
 pub(super) fn is_enough(crashes: usize, moments: usize) -> bool {
-    crashes >= BLOCKED_AFTER && moments >= MOMENTS
+    crashes >= CRASHES_TO_BLOCK && moments >= MIN_MOMENTS
 }
 
 /// Where a suspect is to run: the same server from all hosts, so that its next crash is one
 /// server's, and another one than those that were aboard with it, so that the crash is one request's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// Hash that orders the servers, the same for all that were aboard together.
     pub key: u64,
     /// How many servers in that order are others' places.
@@ -59,7 +59,7 @@
     pub(super) fn put(&mut self, now: Millis, requests: impl IntoIterator<Item = Fingerprint>) {
         for request in requests {
             let due = self.due.entry(request).or_default();
-            *due = (*due).max(now + SETTLE_MS);
+            *due = (*due).max(now + DECISION_DELAY_MS);
         }
     }
 
@@ -71,16 +71,17 @@
     }
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// These were aboard of a crash, or beside one that was cleared: those with enough crashes
     /// are to be decided on.
-    pub(super) fn reconsider(&mut self, now: Millis, aboard: &[Fingerprint]) {
-        let has_enough = |request: &Fingerprint| self.record.aboard_of(*request) >= BLOCKED_AFTER;
-        self.pending.put(now, aboard.iter().copied().filter(has_enough));
+    pub(super) fn reconsider(&mut self, now: Millis, running: &[Fingerprint]) {
+        let has_enough =
+            |request: &Fingerprint| self.history.crash_count(*request) >= CRASHES_TO_BLOCK;
+        self.pending.put(now, running.iter().copied().filter(has_enough));
     }
 
     /// Whether requests wait to be decided on.
-    pub fn has_to_decide(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.due.is_empty()
     }
 
@@ -105,16 +106,16 @@
     }
 
     /// Where a suspect is to run.
-    pub fn place(&self, request: Fingerprint) -> Place {
+    pub fn placement(&self, request: Fingerprint) -> Placement {
         let is_suspect = |other: &Fingerprint| {
-            self.against(*other).servers.len() + 1 >= BLOCKED_AFTER && !self.is_blocked(*other)
+            self.against(*other).servers.len() + 1 >= CRASHES_TO_BLOCK && !self.is_blocked(*other)
         };
-        let aboard: BTreeSet<Fingerprint> = self.record.aboard_with(request).collect();
-        let mut group: BTreeSet<Fingerprint> = aboard.into_iter().filter(is_suspect).collect();
+        let running: BTreeSet<Fingerprint> = self.history.crashed_with(request).collect();
+        let mut group: BTreeSet<Fingerprint> = running.into_iter().filter(is_suspect).collect();
         group.insert(request);
         let first = group.first().copied().unwrap_or(request);
         let rank = group.iter().take_while(|other| **other != request).count();
-        Place { key: first.key(), rank: rank % MOST_PLACES }
+        Placement { key: first.key(), rank: rank % MAX_PLACES }
     }
 
     /// Crashes against a request that is to be blocked.
@@ -123,7 +124,7 @@
         if crashes == 0 {
             return None;
         }
-        let is_sure = crashes >= BLOCKED_BESIDE_AN_EQUAL_AFTER || !self.has_equal(request);
+        let is_sure = crashes >= CRASHES_TO_BLOCK_BESIDE_EQUAL || !self.has_equal(request);
         is_sure.then_some(crashes)
     }
 
@@ -131,7 +132,7 @@
     fn has_equal(&self, request: Fingerprint) -> bool {
         let against = self.against(request).servers;
         let Some(first) = against.first() else { return false };
-        let others = self.record.aboard(first).filter(|other| *other != request);
+        let others = self.history.requests_of(first).filter(|other| *other != request);
         let mut others = others.filter(|other| !self.is_blocked(*other));
         others.any(|other| {
             let of_other = self.against(other).servers;
@@ -143,7 +144,7 @@
         let against = self.against(request).servers;
         let servers: Vec<Name> = against.iter().map(|server| server.name.clone()).collect();
         let block = Block { request, age_ms: 0, servers };
-        self.take_block(now, &block);
+        self.insert_block(now, &block);
         block
     }
 
@@ -156,6 +157,6 @@
 
     pub(super) fn against(&self, request: Fingerprint) -> Evidence<'_> {
         let since = self.cleared_at(request);
-        self.record.against(request, since, |other| self.is_blocked(*other))
+        self.history.against(request, since, |other| self.is_blocked(*other))
     }
 }
--- a/crates/core/src/crashes/facts.rs
+++ b/crates/core/src/crashes/facts.rs
@@ -32,7 +32,8 @@
     /// How long ago its connections broke, in milliseconds.
     pub age_ms: Millis,
     /// Requests that it was running, as far as the teller knows.
-    pub aboard: BTreeSet<Fingerprint>,
+    #[serde(rename = "aboard")]
+    pub running: BTreeSet<Fingerprint>,
 }
 
 /// Word that a request does not crash its servers: crashes before it don't count.
@@ -85,7 +86,7 @@
     pub fn add(&mut self, other: &CrashFacts) {
         for crash in &other.crashes {
             match self.crashes.iter_mut().find(|known| known.server == crash.server) {
-                Some(known) => known.aboard.extend(&crash.aboard),
+                Some(known) => known.running.extend(&crash.running),
                 None => self.crashes.push(crash.clone()),
             }
         }
--- a/crates/core/src/crashes/record.rs
+++ b/crates/core/src/crashes/history.rs
@@ -8,17 +8,17 @@
 
 /// How long a crash is remembered, in milliseconds: a caller that comes every minute is still
 /// stopped at its third one.
-const REMEMBERED_MS: Millis = 300_000;
+const RETENTION_MS: Millis = 300_000;
 
 /// Crashes that are told are younger than this, in milliseconds: what one daemon has just
 /// forgotten must not come back from another.
-const TOLD_MS: Millis = REMEMBERED_MS - 10_000;
+const REPORTED_MS: Millis = RETENTION_MS - 10_000;
 
 /// Crashes remembered at most: of a pool that a crash a second keeps down, some four minutes.
-const MOST_CRASHES: usize = 256;
+const MAX_CRASHES: usize = 256;
 
 /// Requests remembered of one crash at most: twice what an engine runs at once.
-const MOST_ABOARD: usize = 128;
+const MAX_ABOARD: usize = 128;
 
 /// Crashes within this of the first one may have one cause, in milliseconds: hosts see those
 /// of a rack within some 10 ms, and a word between hosts is under way for some 10 ms more.
@@ -37,18 +37,18 @@
 #[derive(Debug, Clone, Default)]
 struct Remembered {
     at: Millis,
-    aboard: BTreeSet<Fingerprint>,
+    running: BTreeSet<Fingerprint>,
 }
 
 /// The crashes that are remembered.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Record {
+pub(super) struct CrashHistory {
     crashes: BTreeMap<ServerStart, Remembered>,
     by_request: HashMap<Fingerprint, BTreeSet<ServerStart>>,
     dropped: u64,
 }
 
-impl Record {
+impl CrashHistory {
     pub(super) fn len(&self) -> usize {
         self.crashes.len()
     }
@@ -64,19 +64,19 @@
     }
 
     /// How many crashes this request was aboard of, whatever their cause.
-    pub(super) fn aboard_of(&self, request: Fingerprint) -> usize {
+    pub(super) fn crash_count(&self, request: Fingerprint) -> usize {
         self.by_request.get(&request).map_or(0, BTreeSet::len)
     }
 
     /// Requests that this start of a server was running when it crashed.
-    pub(super) fn aboard(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
-        self.crashes.get(server).into_iter().flat_map(|crash| crash.aboard.iter().copied())
+    pub(super) fn requests_of(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
+        self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
     }
 
     /// Requests that were aboard of a crash beside this one, and this one.
-    pub(super) fn aboard_with(&self, request: Fingerprint) -> impl Iterator<Item = Fingerprint> {
+    pub(super) fn crashed_with(&self, request: Fingerprint) -> impl Iterator<Item = Fingerprint> {
         let servers = self.by_request.get(&request).into_iter().flatten();
-        servers.flat_map(|server| self.aboard(server))
+        servers.flat_map(|server| self.requests_of(server))
     }
 
     /// Adds a crash, or to what is known of it; the requests that are new there.
@@ -84,19 +84,19 @@
         &mut self,
         at: Millis,
         server: &ServerStart,
-        aboard: impl IntoIterator<Item = Fingerprint>,
+        running: impl IntoIterator<Item = Fingerprint>,
     ) -> Vec<Fingerprint> {
         let crash = self
             .crashes
             .entry(server.clone())
-            .or_insert_with(|| Remembered { at, aboard: BTreeSet::new() });
+            .or_insert_with(|| Remembered { at, running: BTreeSet::new() });
         let mut new = Vec::new();
-        for request in aboard {
-            if crash.aboard.len() >= MOST_ABOARD && !crash.aboard.contains(&request) {
+        for request in running {
+            if crash.running.len() >= MAX_ABOARD && !crash.running.contains(&request) {
                 self.dropped += 1;
                 continue;
             }
-            if crash.aboard.insert(request) {
+            if crash.running.insert(request) {
                 self.by_request.entry(request).or_default().insert(server.clone());
                 new.push(request);
             }
@@ -107,15 +107,15 @@
 
     /// Forgets crashes that are too long ago.
     pub(super) fn forget_old(&mut self, now: Millis) {
-        let is_old = |crash: &Remembered| now.saturating_sub(crash.at) >= REMEMBERED_MS;
+        let is_old = |crash: &Remembered| now.saturating_sub(crash.at) >= RETENTION_MS;
         let old = self.crashes.iter().filter(|(_, crash)| is_old(crash));
         let old: Vec<ServerStart> = old.map(|(server, _)| server.clone()).collect();
         old.iter().for_each(|server| self.forget(server));
     }
 
     /// Whether a crash of this age is still worth telling.
-    pub(super) fn is_told_at(age_ms: Millis) -> bool {
-        age_ms < TOLD_MS
+    pub(super) fn is_reported_at(age_ms: Millis) -> bool {
+        age_ms < REPORTED_MS
     }
 
     /// The crashes that are told to a peer.
@@ -123,9 +123,9 @@
         let crashes = self.crashes.iter().map(move |(server, crash)| Crash {
             server: server.clone(),
             age_ms: now.saturating_sub(crash.at),
-            aboard: crash.aboard.clone(),
+            running: crash.running.clone(),
         });
-        crashes.filter(|crash| Self::is_told_at(crash.age_ms))
+        crashes.filter(|crash| Self::is_reported_at(crash.age_ms))
     }
 
     /// Crashes that speak against `request`, the earliest first: those after `since`, but for
@@ -143,7 +143,7 @@
         let mut crashes: Vec<(&ServerStart, &Remembered)> = crashes
             .filter(|(_, crash)| since.is_none_or(|since| crash.at > since))
             .filter(|(_, crash)| {
-                !crash.aboard.iter().any(|other| *other != request && explains(other))
+                !crash.running.iter().any(|other| *other != request && explains(other))
             })
             .collect();
         crashes.sort_by_key(|(_, crash)| crash.at);
@@ -175,12 +175,12 @@
     /// not running `request`.
     fn is_one_cause(&self, request: Fingerprint, first: &Remembered, later: &Remembered) -> bool {
         let is_near = |crash: &Remembered| crash.at.abs_diff(first.at) <= SAME_MOMENT_MS;
-        let of_others = |crash: &Remembered| is_near(crash) && !crash.aboard.contains(&request);
+        let of_others = |crash: &Remembered| is_near(crash) && !crash.running.contains(&request);
         is_near(later) && self.crashes.values().any(of_others)
     }
 
     fn make_room(&mut self) {
-        while self.crashes.len() > MOST_CRASHES {
+        while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
             let Some(oldest) = oldest.map(|(server, _)| server.clone()) else { return };
             self.forget(&oldest);
@@ -190,7 +190,7 @@
 
     fn forget(&mut self, server: &ServerStart) {
         let Some(crash) = self.crashes.remove(server) else { return };
-        for request in &crash.aboard {
+        for request in &crash.running {
             let Some(servers) = self.by_request.get_mut(request) else { continue };
             servers.remove(server);
             if servers.is_empty() {
--- a/crates/core/src/crashes/book.rs
+++ b/crates/core/src/crashes/tracker.rs
@@ -5,44 +5,44 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::deciding::{BLOCKED_AFTER, Pending, is_enough};
+use super::decision::{CRASHES_TO_BLOCK, Pending, is_enough};
 use super::facts::{Block, Cleared, Crash, CrashFacts, ServerStart};
-use super::record::Record;
+use super::history::CrashHistory;
 use crate::{Fingerprint, Millis, Name};
 
 /// How long a request stays blocked, in milliseconds: a caller that nobody stops costs
 /// three servers a day, and one whose cause was mended is served the next day at the latest.
-pub const HOLD_MS: Millis = 24 * 3_600_000;
+pub const BLOCK_DURATION_MS: Millis = 24 * 3_600_000;
 
 /// Requests blocked at most: 1,000 of some 150 bytes each.
-const MOST_BLOCKS: usize = 1_000;
+const MAX_BLOCKS: usize = 1_000;
 
 /// Requests remembered as cleared at most: those aboard of some hundred crashes.
-const MOST_CLEARED: usize = 4_000;
+const MAX_CLEARED: usize = 4_000;
 
 /// Two words of the same success differ by what they were under way, in milliseconds.
-const SAME_WORD_MS: Millis = 1_000;
+const SAME_SUCCESS_MS: Millis = 1_000;
 
 /// What follows for a request that is to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing is known against it, or one crash.
-    Free,
-    /// One more crash blocks it: it is to run at its [`CrashBook::place`].
+    Allowed,
+    /// One more crash blocks it: it is to run at its [`CrashTracker::placement`].
     Suspect,
     /// Another request has the same crashes, enough of them: it may run once more, sent by one
-    /// host alone, and at its [`CrashBook::place`].
-    Apart,
+    /// host alone, and at its [`CrashTracker::placement`].
+    Isolated,
     /// It may be blocked: whether servers that broke off have crashed, or what peers know of
     /// who else was aboard, is being found out.
-    Held,
+    Undecided,
     /// It runs nowhere any more.
     Blocked,
 }
 
 /// How much is remembered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Gauge {
+pub struct CrashStats {
     /// Crashes.
     pub crashes: usize,
     /// Requests blocked.
@@ -63,17 +63,17 @@
 struct Clearance {
     at: Millis,
     /// Up to when others were told.
-    told_at: Option<Millis>,
+    announced_at: Option<Millis>,
     /// Whether it made a block void, which a host that was cut off may still bring back.
-    is_lift: bool,
+    voids_block: bool,
 }
 
 /// What one daemon knows of crashes.
 #[derive(Debug, Clone, Default)]
-pub struct CrashBook {
-    pub(super) record: Record,
+pub struct CrashTracker {
+    pub(super) history: CrashHistory,
     /// Servers that broke off and may have crashed, and what they were running.
-    unsure: BTreeMap<ServerStart, BTreeSet<Fingerprint>>,
+    unverified: BTreeMap<ServerStart, BTreeSet<Fingerprint>>,
     cleared: HashMap<Fingerprint, Clearance>,
     blocked: BTreeMap<Fingerprint, Blocked>,
     /// Requests to be decided on.
@@ -81,19 +81,19 @@
     dropped: u64,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Whether nothing is known, so that no request need be looked up.
     pub fn is_empty(&self) -> bool {
-        let knows_crashes = self.record.len() > 0 || !self.unsure.is_empty();
+        let knows_crashes = self.history.len() > 0 || !self.unverified.is_empty();
         !knows_crashes && self.blocked.is_empty() && self.cleared.is_empty()
     }
 
     /// How much is remembered.
-    pub fn gauge(&self) -> Gauge {
-        Gauge {
-            crashes: self.record.len(),
+    pub fn stats(&self) -> CrashStats {
+        CrashStats {
+            crashes: self.history.len(),
             blocks: self.blocked.len(),
-            dropped: self.dropped + self.record.dropped(),
+            dropped: self.dropped + self.history.dropped(),
         }
     }
 
@@ -102,66 +102,67 @@
         if self.blocked.contains_key(&request) {
             return Verdict::Blocked;
         }
-        let unsure = self.unsure.values().filter(|aboard| aboard.contains(&request)).count();
+        let unverified =
+            self.unverified.values().filter(|running| running.contains(&request)).count();
         let sure = self.against(request);
-        let crashes = sure.servers.len() + unsure;
-        if is_enough(crashes, sure.moments + usize::from(unsure > 0)) {
+        let crashes = sure.servers.len() + unverified;
+        if is_enough(crashes, sure.moments + usize::from(unverified > 0)) {
             // One that was decided on and is free has the same crashes as another.
-            let is_decided = unsure == 0 && !self.pending.has(request);
-            return if is_decided { Verdict::Apart } else { Verdict::Held };
+            let is_decided = unverified == 0 && !self.pending.has(request);
+            return if is_decided { Verdict::Isolated } else { Verdict::Undecided };
         }
-        if crashes + 1 >= BLOCKED_AFTER { Verdict::Suspect } else { Verdict::Free }
+        if crashes + 1 >= CRASHES_TO_BLOCK { Verdict::Suspect } else { Verdict::Allowed }
     }
 
     /// Whether a success of this request would change anything.
-    pub fn concerns(&self, request: Fingerprint) -> bool {
-        self.record.aboard_of(request) > 0 || self.blocked.contains_key(&request)
+    pub fn tracks(&self, request: Fingerprint) -> bool {
+        self.history.crash_count(request) > 0 || self.blocked.contains_key(&request)
     }
 
     /// Takes in that the connection over which this server was running a request broke.
     /// Returns whether it is to be found out if the server has crashed, which then comes back
-    /// by [`CrashBook::crashed`] or [`CrashBook::lives`], and news for peers.
-    pub fn broke_off(
+    /// by [`CrashTracker::record_crash`] or [`CrashTracker::record_alive`], and news for peers.
+    pub fn record_disconnect(
         &mut self,
         now: Millis,
         server: &ServerStart,
         request: Fingerprint,
     ) -> (bool, CrashFacts) {
-        if self.record.has(server) {
+        if self.history.has(server) {
             return (false, self.add_crash(now, now, server, [request]));
         }
-        let is_new = !self.unsure.contains_key(server);
-        self.unsure.entry(server.clone()).or_default().insert(request);
+        let is_new = !self.unverified.contains_key(server);
+        self.unverified.entry(server.clone()).or_default().insert(request);
         (is_new, CrashFacts::default())
     }
 
     /// The server that broke off has crashed; returns news for peers.
-    pub fn crashed(&mut self, now: Millis, server: &ServerStart) -> CrashFacts {
-        let aboard = self.unsure.remove(server).unwrap_or_default();
-        self.add_crash(now, now, server, aboard)
+    pub fn record_crash(&mut self, now: Millis, server: &ServerStart) -> CrashFacts {
+        let running = self.unverified.remove(server).unwrap_or_default();
+        self.add_crash(now, now, server, running)
     }
 
     /// The server that broke off is there: a reset or a cut, and no crash.
-    pub fn lives(&mut self, server: &ServerStart) {
-        self.unsure.remove(server);
+    pub fn record_alive(&mut self, server: &ServerStart) {
+        self.unverified.remove(server);
     }
 
     /// A request has ended well. Returns news for peers: of a request that two crashes speak
     /// against, so that no third one blocks it where nobody saw it succeed.
-    pub fn succeeded(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
-        if !self.concerns(request) {
+    pub fn record_success(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
+        if !self.tracks(request) {
             return CrashFacts::default();
         }
         self.clear(now, request);
-        self.tell_clearance(now, request)
+        self.clearance_to_announce(now, request)
     }
 
     /// An operator lets the request run again; returns news for peers.
     pub fn lift(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
         self.clear(now, request);
         self.cleared.entry(request).and_modify(|clearance| {
-            clearance.told_at = Some(now);
-            clearance.is_lift = true;
+            clearance.announced_at = Some(now);
+            clearance.voids_block = true;
         });
         CrashFacts { cleared: vec![Cleared { request, age_ms: 0 }], ..CrashFacts::default() }
     }
@@ -172,30 +173,32 @@
     }
 
     /// Takes in what a peer, or the store, has told; returns what was new, for other peers.
-    pub fn told(&mut self, now: Millis, facts: CrashFacts) -> CrashFacts {
+    pub fn merge(&mut self, now: Millis, facts: CrashFacts) -> CrashFacts {
         let mut news = CrashFacts::default();
         for cleared in facts.cleared {
             let at = now.saturating_sub(cleared.age_ms);
-            let known = self.cleared.get(&cleared.request).and_then(|known| known.told_at);
-            if known.is_some_and(|known| at <= known + SAME_WORD_MS) {
+            let known = self.cleared.get(&cleared.request).and_then(|known| known.announced_at);
+            if known.is_some_and(|known| at <= known + SAME_SUCCESS_MS) {
                 continue;
             }
             self.clear(at, cleared.request);
-            let told = |clearance: &mut Clearance| clearance.told_at = Some(at);
+            let told = |clearance: &mut Clearance| clearance.announced_at = Some(at);
             self.cleared.entry(cleared.request).and_modify(told);
             news.cleared.push(cleared);
         }
-        for crash in facts.crashes.into_iter().filter(|crash| Record::is_told_at(crash.age_ms)) {
+        for crash in
+            facts.crashes.into_iter().filter(|crash| CrashHistory::is_reported_at(crash.age_ms))
+        {
             // What this daemon has not yet found out by itself is told by a peer.
-            let mut aboard = self.unsure.remove(&crash.server).unwrap_or_default();
-            aboard.extend(crash.aboard);
+            let mut running = self.unverified.remove(&crash.server).unwrap_or_default();
+            running.extend(crash.running);
             let at = now.saturating_sub(crash.age_ms);
-            let new = self.add_crash(now, at, &crash.server, aboard);
+            let new = self.add_crash(now, at, &crash.server, running);
             news.crashes.extend(new.crashes);
             news.cleared.extend(new.cleared);
         }
         for block in facts.blocks {
-            if self.take_block(now, &block) {
+            if self.insert_block(now, &block) {
                 news.blocks.push(block);
             }
         }
@@ -204,9 +207,9 @@
 
     /// All that is known, for a peer that knows something else.
     pub fn facts(&self, now: Millis) -> CrashFacts {
-        let told = self.cleared.iter().filter(|(_, clearance)| clearance.told_at.is_some());
+        let told = self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
         CrashFacts {
-            crashes: self.record.told(now).collect(),
+            crashes: self.history.told(now).collect(),
             cleared: told
                 .map(|(request, clearance)| Cleared {
                     request: *request,
@@ -232,27 +235,28 @@
     pub fn digest(&self, now: Millis) -> u64 {
         let mut sum = 0_u64;
         let mut add = |bytes: &[u8]| sum = sum.wrapping_add(xxh3_64(bytes));
-        for crash in self.record.told(now) {
+        for crash in self.history.told(now) {
             let server = crash.server.name.as_str().as_bytes();
-            for request in &crash.aboard {
+            for request in &crash.running {
                 add(&[server, &crash.server.started_ms.to_le_bytes(), &request.0.to_le_bytes()]
                     .concat());
             }
         }
         self.blocked.keys().for_each(|request| add(&request.0.to_le_bytes()));
-        let told = self.cleared.iter().filter(|(_, clearance)| clearance.told_at.is_some());
+        let told = self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
         told.for_each(|(request, _)| add(&[&[1], &request.0.to_le_bytes()[..]].concat()));
         sum
     }
 
     /// Forgets what is too long ago.
     pub fn forget_old(&mut self, now: Millis) {
-        self.record.forget_old(now);
-        self.blocked.retain(|_, blocked| now.saturating_sub(blocked.at) < HOLD_MS);
-        let record = &self.record;
+        self.history.forget_old(now);
+        self.blocked.retain(|_, blocked| now.saturating_sub(blocked.at) < BLOCK_DURATION_MS);
+        let history = &self.history;
         self.cleared.retain(|request, clearance| {
             let age_ms = now.saturating_sub(clearance.at);
-            age_ms < HOLD_MS && (clearance.is_lift || record.aboard_of(*request) > 0)
+            age_ms < BLOCK_DURATION_MS
+                && (clearance.voids_block || history.crash_count(*request) > 0)
         });
     }
 
@@ -261,21 +265,21 @@
         now: Millis,
         at: Millis,
         server: &ServerStart,
-        aboard: impl IntoIterator<Item = Fingerprint>,
+        running: impl IntoIterator<Item = Fingerprint>,
     ) -> CrashFacts {
-        let new = self.record.add(at, server, aboard);
+        let new = self.history.add(at, server, running);
         if new.is_empty() {
             return CrashFacts::default();
         }
         let mut news = CrashFacts::default();
         for request in &new {
-            news.cleared.extend(self.tell_clearance(now, *request).cleared);
+            news.cleared.extend(self.clearance_to_announce(now, *request).cleared);
         }
-        let aboard: Vec<Fingerprint> = self.record.aboard(server).collect();
-        self.reconsider(now, &aboard);
+        let running: Vec<Fingerprint> = self.history.requests_of(server).collect();
+        self.reconsider(now, &running);
         let age_ms = now.saturating_sub(at);
-        let aboard = new.into_iter().collect();
-        news.crashes.push(Crash { server: server.clone(), age_ms, aboard });
+        let running = new.into_iter().collect();
+        news.crashes.push(Crash { server: server.clone(), age_ms, running });
         news
     }
 
@@ -290,17 +294,17 @@
     }
 
     /// Takes a block; returns whether it is new and in force.
-    pub(super) fn take_block(&mut self, now: Millis, block: &Block) -> bool {
+    pub(super) fn insert_block(&mut self, now: Millis, block: &Block) -> bool {
         let request = block.request;
         let at = now.saturating_sub(block.age_ms);
         let is_lifted = self.cleared.get(&request).is_some_and(|clearance| clearance.at >= at);
-        let is_over = block.age_ms >= HOLD_MS;
+        let is_over = block.age_ms >= BLOCK_DURATION_MS;
         if is_lifted || is_over || self.blocked.contains_key(&request) {
             return false;
         }
         let blocked = Blocked { at, servers: block.servers.clone() };
         self.blocked.insert(request, blocked);
-        if self.blocked.len() > MOST_BLOCKS {
+        if self.blocked.len() > MAX_BLOCKS {
             let oldest = self.blocked.iter().min_by_key(|(_, blocked)| blocked.at);
             let oldest = oldest.map(|(request, _)| *request);
             oldest.map(|request| self.blocked.remove(&request));
@@ -314,21 +318,21 @@
         let clearance = self.cleared.entry(request).or_default();
         clearance.at = clearance.at.max(at);
         // Those with the same crashes may be left without one like them.
-        let aboard: Vec<Fingerprint> = self.record.aboard_with(request).collect();
-        self.reconsider(at, &aboard);
+        let running: Vec<Fingerprint> = self.history.crashed_with(request).collect();
+        self.reconsider(at, &running);
         let Some(blocked) = self.blocked.get(&request) else { return };
         // Word of a success may come after the block that it makes void.
-        let has_evidence = self.record.aboard_of(request) >= BLOCKED_AFTER;
-        let is_void = has_evidence && self.count_against(request) < BLOCKED_AFTER;
+        let has_evidence = self.history.crash_count(request) >= CRASHES_TO_BLOCK;
+        let is_void = has_evidence && self.count_against(request) < CRASHES_TO_BLOCK;
         if is_void || at >= blocked.at {
             self.blocked.remove(&request);
-            self.cleared.entry(request).and_modify(|clearance| clearance.is_lift = true);
+            self.cleared.entry(request).and_modify(|clearance| clearance.voids_block = true);
         }
         self.make_room_for_clearances();
     }
 
     fn make_room_for_clearances(&mut self) {
-        if self.cleared.len() <= MOST_CLEARED {
+        if self.cleared.len() <= MAX_CLEARED {
             return;
         }
         let oldest = self.cleared.iter().min_by_key(|(_, clearance)| clearance.at);
@@ -338,13 +342,13 @@
     }
 
     /// The word that clears a request, when others need it: a crash before it may count there.
-    fn tell_clearance(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
+    fn clearance_to_announce(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
         let mut news = CrashFacts::default();
         let Some(clearance) = self.cleared.get_mut(&request) else { return news };
-        let told_at = clearance.told_at.unwrap_or(0);
-        let matters = self.record.was_aboard_between(request, told_at, clearance.at);
-        if matters && self.record.aboard_of(request) + 1 >= BLOCKED_AFTER {
-            clearance.told_at = Some(clearance.at);
+        let announced_at = clearance.announced_at.unwrap_or(0);
+        let matters = self.history.was_aboard_between(request, announced_at, clearance.at);
+        if matters && self.history.crash_count(request) + 1 >= CRASHES_TO_BLOCK {
+            clearance.announced_at = Some(clearance.at);
             news.cleared.push(Cleared { request, age_ms: now.saturating_sub(clearance.at) });
         }
         news
--- a/crates/core/src/hints.rs
+++ b/crates/core/src/hints.rs
@@ -11,7 +11,7 @@
 pub use rests::Rests;
 
 use crate::Millis;
-use crate::limits::{LimitFact, LimitWord};
+use crate::limits::{LimitFact, LimitHeader};
 
 /// How long what a start of a server has said is remembered after it, in milliseconds, when
 /// nobody lists that start: longer than lists of hosts that were cut off lag behind.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServerHints {
     /// How many requests a second the server takes from all daemons together.
-    pub limit: LimitWord,
+    pub limit: LimitHeader,
     /// The server takes no new requests, and ends.
     pub leaving: Hint<()>,
     /// The server wants nothing from this daemon for so many milliseconds.
@@ -56,7 +56,7 @@
         match &mut self {
             HintFact::Limit(fact) => {
                 fact.asked_age_ms += by_ms;
-                fact.heard_age_ms += by_ms;
+                fact.received_age_ms += by_ms;
             }
             HintFact::Leaving(fact) => fact.age_ms += by_ms,
         }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -4,14 +4,14 @@
 //! fleet, `leases` keeps what one daemon has of them, and `returns` tells callers when to come
 //! back.
 
-mod book;
+mod header;
 mod issuer;
 mod leases;
-mod returns;
-mod word;
+mod retry_schedule;
+mod tracker;
 
-pub use book::{Change, LimitBook, LimitFact, UNDER_WAY_MS};
-pub use issuer::{ISSUERS, Issued, Issuer, Place, Wish};
-pub use leases::{Leases, PERMIT_MS};
-pub use returns::Returns;
-pub use word::{LimitWord, RequestRate};
+pub use header::{LimitHeader, RequestRate};
+pub use issuer::{ISSUERS_PER_SERVER, Issued, Issuer, IssuerRank, PermitRequest};
+pub use leases::{Leases, PERMIT_LIFETIME_MS};
+pub use retry_schedule::RetrySchedule;
+pub use tracker::{LimitChange, LimitFact, LimitTracker, MAX_TRANSIT_MS};
--- a/crates/core/src/limits/word.rs
+++ b/crates/core/src/limits/header.rs
@@ -22,26 +22,28 @@
 
 /// What the head of one answer says.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub enum LimitWord {
+pub enum LimitHeader {
     /// It names no limit.
     #[default]
-    None,
+    Absent,
     /// The limit.
-    Named(RequestRate),
+    Limit(RequestRate),
     /// It names what is no limit, and so neither sets nor lifts one.
-    Unreadable(String),
+    Malformed(String),
 }
 
-impl LimitWord {
+impl LimitHeader {
     /// Reads the values of a header. Of several rates the lowest counts, whichever is meant.
-    pub fn read<'a>(values: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut word = LimitWord::None;
+    pub fn parse<'a>(values: impl IntoIterator<Item = &'a str>) -> Self {
+        let mut word = LimitHeader::Absent;
         for text in values.into_iter().flat_map(|value| value.split(',')) {
             let rate = text.trim().parse().ok().and_then(RequestRate::new);
             word = match (word, rate) {
-                (LimitWord::Named(known), Some(rate)) if known <= rate => LimitWord::Named(known),
-                (_, Some(rate)) => LimitWord::Named(rate),
-                (LimitWord::None, None) => LimitWord::Unreadable(text.trim().to_owned()),
+                (LimitHeader::Limit(known), Some(rate)) if known <= rate => {
+                    LimitHeader::Limit(known)
+                }
+                (_, Some(rate)) => LimitHeader::Limit(rate),
+                (LimitHeader::Absent, None) => LimitHeader::Malformed(text.trim().to_owned()),
                 (known, None) => known,
             };
         }
--- a/crates/core/src/limits/issuer.rs
+++ b/crates/core/src/limits/issuer.rs
@@ -14,7 +14,7 @@
 use crate::{Incarnation, Millis};
 
 /// Daemons that issue permits for one server.
-pub const ISSUERS: usize = 3;
+pub const ISSUERS_PER_SERVER: usize = 3;
 
 /// Part of a limit that is issued: windows of the server and of the issuer differ.
 const USED_PART: f64 = 0.9;
@@ -42,10 +42,10 @@
 const SAVED_S: f64 = 0.1;
 
 /// Longest time after which who got no permit is told to ask again, in milliseconds.
-const MOST_RETRY_MS: f64 = 10_000.0;
+const MAX_RETRY_MS: f64 = 10_000.0;
 
 /// Most permits of one ask.
-pub const MOST_AT_ONCE: u32 = 64;
+pub const MAX_PERMITS_PER_REQUEST: u32 = 64;
 
 /// How long who asks for more urgent requests and gets none comes first, in milliseconds.
 const URGENT_HOLD_MS: Millis = 1_000;
@@ -56,7 +56,7 @@
 
 /// What an issuer is to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct IssuerRank {
     /// How many issuers come before it.
     pub rank: usize,
     /// Since when it knows the fleet as it is: until a while later others may still ask, or
@@ -66,7 +66,7 @@
 
 /// What a daemon asks an issuer for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct PermitRequest {
     /// Who asks.
     pub from: Incarnation,
     /// Permits that it has a use for.
@@ -113,10 +113,10 @@
         now: Millis,
         server: &ServerStart,
         limit: RequestRate,
-        place: Place,
-        wish: Wish,
+        place: IssuerRank,
+        wish: PermitRequest,
     ) -> Issued {
-        if place.rank >= ISSUERS {
+        if place.rank >= ISSUERS_PER_SERVER {
             return Issued { permits: 0, retry_ms: NO_ISSUER_MS };
         }
         let bucket = self.buckets.entry(server.clone()).or_insert_with(|| Bucket::new(now, place));
@@ -141,7 +141,7 @@
 
 impl Bucket {
     /// An empty bucket: what an earlier start has issued is not known.
-    fn new(now: Millis, place: Place) -> Self {
+    fn new(now: Millis, place: IssuerRank) -> Self {
         Bucket {
             permits: 0.0,
             filled_at: now,
@@ -178,14 +178,14 @@
         per_ms
     }
 
-    fn take(&mut self, now: Millis, per_ms: f64, wish: Wish) -> u32 {
+    fn take(&mut self, now: Millis, per_ms: f64, wish: PermitRequest) -> u32 {
         if self.permits < 1.0 || self.lets_others_first(now, per_ms, wish.urgency) {
             self.remember_unserved(now, wish.urgency);
             return 0;
         }
         // Half of what there is: others come as well.
         let several = (self.permits / 2.0) as u32;
-        let permits = wish.permits.min(several).clamp(1, MOST_AT_ONCE);
+        let permits = wish.permits.min(several).clamp(1, MAX_PERMITS_PER_REQUEST);
         self.permits -= f64::from(permits);
         permits
     }
@@ -219,7 +219,7 @@
             return (slot - now).ceil() as Millis;
         }
         let first = now + (1.0 - self.permits).max(0.0) / per_ms;
-        let slot = self.next_return.max(first).min(now + MOST_RETRY_MS);
+        let slot = self.next_return.max(first).min(now + MAX_RETRY_MS);
         self.next_return = slot + 1.0 / per_ms;
         self.returns.insert(from, slot);
         (slot - now).ceil() as Millis
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -4,11 +4,11 @@
 
 use crate::Millis;
 use crate::crashes::ServerStart;
-use crate::limits::issuer::MOST_AT_ONCE;
+use crate::limits::issuer::MAX_PERMITS_PER_REQUEST;
 
 /// How long a permit may be used after it was asked for, in milliseconds: a daemon that was
 /// suspended must not use it when it wakes, and what is left over counts as used.
-pub const PERMIT_MS: Millis = 250;
+pub const PERMIT_LIFETIME_MS: Millis = 250;
 
 /// How long permits count as scarce after none was to be had, in milliseconds.
 const SCARCE_MS: Millis = 10_000;
@@ -49,7 +49,7 @@
             lease.permits = 0;
         }
         // The shortest of their times holds for all.
-        let until = asked_at + PERMIT_MS;
+        let until = asked_at + PERMIT_LIFETIME_MS;
         lease.until = if lease.permits == 0 { until } else { lease.until.min(until) };
         lease.permits += permits;
     }
@@ -66,7 +66,7 @@
     }
 
     /// Takes in that none was to be had.
-    pub fn denied(&mut self, now: Millis, server: &ServerStart) {
+    pub fn record_denial(&mut self, now: Millis, server: &ServerStart) {
         self.leases.entry(server.clone()).or_default().denied_at = Some(now);
     }
 
@@ -78,13 +78,14 @@
     }
 
     /// How many permits are worth asking for: one, and as many as were used of late.
-    pub fn wanted(&mut self, now: Millis, server: &ServerStart) -> u32 {
+    pub fn permits_to_request(&mut self, now: Millis, server: &ServerStart) -> u32 {
         let lease = self.leases.entry(server.clone()).or_default();
-        if now >= lease.counted_from + PERMIT_MS {
-            lease.used = if now < lease.counted_from + 2 * PERMIT_MS { lease.used / 2 } else { 0 };
+        if now >= lease.counted_from + PERMIT_LIFETIME_MS {
+            lease.used =
+                if now < lease.counted_from + 2 * PERMIT_LIFETIME_MS { lease.used / 2 } else { 0 };
             lease.counted_from = now;
         }
-        (1 + lease.used).min(MOST_AT_ONCE)
+        (1 + lease.used).min(MAX_PERMITS_PER_REQUEST)
     }
 
     /// Permits left for this server.
--- a/crates/core/src/limits/returns.rs
+++ b/crates/core/src/limits/retry_schedule.rs
@@ -5,19 +5,19 @@
 use crate::{Millis, Name};
 
 /// Longest time after which a caller is told to come back, in milliseconds: few wait longer.
-const MOST_MS: f64 = 5_000.0;
+const MAX_MS: f64 = 5_000.0;
 
 /// The callers that one daemon has told to come back, by service.
 #[derive(Debug, Clone, Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     next: HashMap<Name, f64>,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// When the next caller comes back, in milliseconds from now: `first_ms` at the earliest,
     /// and each after the one before by its share of what the servers take. Beyond the
     /// longest time `seed` spreads them.
-    pub fn next(
+    pub fn next_delay(
         &mut self,
         now: Millis,
         service: &Name,
@@ -28,11 +28,11 @@
         let now = now as f64;
         let next = self.next.entry(service.clone()).or_default();
         let slot = next.max(now + first_ms as f64);
-        if slot >= now + MOST_MS {
+        if slot >= now + MAX_MS {
             let spread = seed as f64 / u64::MAX as f64;
-            return (MOST_MS * (0.5 + 0.5 * spread)) as Millis;
+            return (MAX_MS * (0.5 + 0.5 * spread)) as Millis;
         }
-        *next = slot + (1_000.0 / share_per_s).min(MOST_MS);
+        *next = slot + (1_000.0 / share_per_s).min(MAX_MS);
         (slot - now).ceil() as Millis
     }
 }
--- a/crates/core/src/limits/book.rs
+++ b/crates/core/src/limits/tracker.rs
@@ -11,15 +11,15 @@
 
 use crate::Millis;
 use crate::crashes::ServerStart;
-use crate::limits::{LimitWord, RequestRate};
+use crate::limits::{LimitHeader, RequestRate};
 
 /// How much younger a fact may seem than it is, in milliseconds: nobody counts the time for
 /// which it is under way between daemons. A call that takes longer is given up.
-pub const UNDER_WAY_MS: Millis = 300;
+pub const MAX_TRANSIT_MS: Millis = 300;
 
 /// How long it is remembered that a limit was lifted, and a limit of a server that nobody
 /// lists, in milliseconds: longer than words are under way and lists lag.
-const HOLD_MS: Millis = 60_000;
+const RETENTION_MS: Millis = 60_000;
 
 /// What an answer of one start of a server has said.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -31,12 +31,13 @@
     /// How long ago the request of that answer was sent, in milliseconds.
     pub asked_age_ms: Millis,
     /// How long ago the answer, or the last that said the same, came, in milliseconds.
-    pub heard_age_ms: Millis,
+    #[serde(rename = "heard_age_ms")]
+    pub received_age_ms: Millis,
 }
 
 /// A limit that is not what it was.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
+pub struct LimitChange {
     /// The limit before.
     pub before: Option<RequestRate>,
     /// What is known now.
@@ -47,7 +48,7 @@
 struct Known {
     limit: Option<RequestRate>,
     asked_at: Millis,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
 impl Known {
@@ -56,74 +57,74 @@
             server: server.clone(),
             limit: self.limit,
             asked_age_ms: now.saturating_sub(self.asked_at),
-            heard_age_ms: now.saturating_sub(self.heard_at),
+            received_age_ms: now.saturating_sub(self.received_at),
         }
     }
 }
 
 /// The limits that one daemon knows.
 #[derive(Debug, Clone, Default)]
-pub struct LimitBook {
+pub struct LimitTracker {
     known: HashMap<ServerStart, Known>,
-    /// See [`LimitBook::digest`].
+    /// See [`LimitTracker::digest`].
     digest: u64,
 }
 
-impl LimitBook {
+impl LimitTracker {
     /// Takes in the head of an answer that came now to a request sent at `asked_at`.
-    pub fn heard(
+    pub fn record_response(
         &mut self,
         now: Millis,
         server: &ServerStart,
         asked_at: Millis,
-        word: &LimitWord,
-    ) -> Option<Change> {
+        word: &LimitHeader,
+    ) -> Option<LimitChange> {
         let limit = match word {
-            LimitWord::Unreadable(_) => return None,
-            LimitWord::None => None,
-            LimitWord::Named(rate) => Some(*rate),
+            LimitHeader::Malformed(_) => return None,
+            LimitHeader::Absent => None,
+            LimitHeader::Limit(rate) => Some(*rate),
         };
         let known = self.known.get(server);
         let is_older =
-            known.is_some_and(|known| is_laxer(limit, known.limit) && asked_at < known.heard_at);
+            known.is_some_and(|known| is_laxer(limit, known.limit) && asked_at < known.received_at);
         if is_older || known.is_none() && limit.is_none() {
             return None;
         }
-        self.put(now, server, Known { limit, asked_at, heard_at: now })
+        self.put(now, server, Known { limit, asked_at, received_at: now })
     }
 
     /// Takes in what a peer has told; returns what is new.
-    pub fn told(&mut self, now: Millis, facts: &[LimitFact]) -> Vec<Change> {
-        facts.iter().filter_map(|fact| self.told_one(now, fact)).collect()
+    pub fn merge(&mut self, now: Millis, facts: &[LimitFact]) -> Vec<LimitChange> {
+        facts.iter().filter_map(|fact| self.merge_one(now, fact)).collect()
     }
 
-    fn told_one(&mut self, now: Millis, fact: &LimitFact) -> Option<Change> {
+    fn merge_one(&mut self, now: Millis, fact: &LimitFact) -> Option<LimitChange> {
         let told = Known {
             limit: fact.limit,
             asked_at: now.saturating_sub(fact.asked_age_ms),
-            heard_at: now.saturating_sub(fact.heard_age_ms),
+            received_at: now.saturating_sub(fact.received_age_ms),
         };
         let is_newer = match self.known.get(&fact.server) {
             None => told.limit.is_some(),
             Some(known) if is_laxer(told.limit, known.limit) => {
-                told.asked_at > known.heard_at + UNDER_WAY_MS
+                told.asked_at > known.received_at + MAX_TRANSIT_MS
             }
-            Some(known) => told.heard_at + UNDER_WAY_MS >= known.asked_at,
+            Some(known) => told.received_at + MAX_TRANSIT_MS >= known.asked_at,
         };
         is_newer.then(|| self.put(now, &fact.server, told)).flatten()
     }
 
-    fn put(&mut self, now: Millis, server: &ServerStart, said: Known) -> Option<Change> {
+    fn put(&mut self, now: Millis, server: &ServerStart, said: Known) -> Option<LimitChange> {
         let known = self.known.entry(server.clone()).or_insert(Known { limit: None, ..said });
         let before = known.limit;
         if before == said.limit {
             known.asked_at = known.asked_at.max(said.asked_at);
-            known.heard_at = known.heard_at.max(said.heard_at);
+            known.received_at = known.received_at.max(said.received_at);
             return None;
         }
         *known = said;
         self.digest ^= hash(server, before) ^ hash(server, said.limit);
-        Some(Change { before, fact: said.fact(now, server) })
+        Some(LimitChange { before, fact: said.fact(now, server) })
     }
 
     /// The limit of this start of a server.
@@ -158,7 +159,7 @@
     pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, known| {
-            let is_recent = now.saturating_sub(known.heard_at) < HOLD_MS;
+            let is_recent = now.saturating_sub(known.received_at) < RETENTION_MS;
             let is_kept = is_recent || known.limit.is_some() && is_listed(server);
             *digest ^= if is_kept { 0 } else { hash(server, known.limit) };
             is_kept
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -92,10 +92,10 @@
     pub view_age_ms: Option<Millis>,
     /// How fast some of the backend servers are, others in each heartbeat.
     pub paces: Vec<ServerPace>,
-    /// Hash of what the sender knows of crashes, as [`crate::crashes::CrashBook::digest`].
+    /// Hash of what the sender knows of crashes, as [`crate::crashes::CrashTracker::digest`].
     pub crashes_digest: u64,
     /// Hash of what servers have said as far as the sender knows: of
-    /// [`crate::limits::LimitBook::digest`] and [`crate::hints::LeavingStarts::digest`].
+    /// [`crate::limits::LimitTracker::digest`] and [`crate::hints::LeavingStarts::digest`].
     pub hints_digest: u64,
 }
 
--- a/crates/core/tests/crash_fleet/world.rs
+++ b/crates/core/tests/crash_fleet/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bankcove_core::crashes::{BLOCKED_AFTER, CrashBook, CrashFacts, ServerStart, Verdict};
+use bankcove_core::crashes::{CRASHES_TO_BLOCK, CrashFacts, CrashTracker, ServerStart, Verdict};
 use bankcove_core::{Fingerprint, Millis, Name};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -56,7 +56,7 @@
 pub struct World {
     pub rng: StdRng,
     pub now: Millis,
-    pub books: Vec<CrashBook>,
+    pub books: Vec<CrashTracker>,
     pub troubles: Vec<Trouble>,
     pub servers: Vec<Server>,
     pub mail: BTreeMap<(Millis, u64), (usize, CrashFacts)>,
@@ -73,7 +73,7 @@
         World {
             rng: StdRng::seed_from_u64(seed),
             now: 0,
-            books: vec![CrashBook::default(); daemons],
+            books: vec![CrashTracker::default(); daemons],
             troubles,
             servers: vec![Server::default(); servers],
             mail: BTreeMap::new(),
@@ -135,7 +135,7 @@
             }
             let (to, facts) = entry.remove();
             if !self.is_down(to) {
-                let news = self.books[to].told(self.now, facts);
+                let news = self.books[to].merge(self.now, facts);
                 self.tell(to, &news);
             }
         }
@@ -159,7 +159,7 @@
             for (one, other) in [(daemon, peer), (peer, daemon)] {
                 if self.books[one].digest(self.now) != self.books[other].digest(self.now) {
                     let facts = self.books[one].facts(self.now);
-                    let news = self.books[other].told(self.now, facts);
+                    let news = self.books[other].merge(self.now, facts);
                     self.tell(other, &news);
                 }
             }
@@ -170,11 +170,11 @@
         for at in 0..self.troubles.len() {
             let Trouble { daemon, from, until, kind } = self.troubles[at];
             if kind == Kind::Restart && from == self.now {
-                self.books[daemon] = CrashBook::default();
+                self.books[daemon] = CrashTracker::default();
             }
             if kind == Kind::Restart && until == self.now {
                 let kept = self.kept.clone();
-                self.books[daemon].told(self.now, kept);
+                self.books[daemon].merge(self.now, kept);
             }
         }
     }
@@ -197,9 +197,9 @@
         let verdict = self.books[daemon].verdict(request);
         match verdict {
             Verdict::Blocked => return self.refused.push(request),
-            Verdict::Held => return,
-            Verdict::Apart if !self.may_run_apart(daemon, request) => return,
-            Verdict::Free | Verdict::Suspect | Verdict::Apart => {}
+            Verdict::Undecided => return,
+            Verdict::Isolated if !self.may_run_apart(daemon, request) => return,
+            Verdict::Allowed | Verdict::Suspect | Verdict::Isolated => {}
         }
         let now = self.now;
         let up = self.servers.iter_mut().filter(|server| server.back_at <= now);
@@ -207,10 +207,10 @@
         if up.is_empty() {
             return;
         }
-        let at = if verdict == Verdict::Free {
+        let at = if verdict == Verdict::Allowed {
             self.rng.random_range(0..up.len())
         } else {
-            let place = self.books[daemon].place(request);
+            let place = self.books[daemon].placement(request);
             (place.key as usize).wrapping_add(place.rank) % up.len()
         };
         let server = up.into_iter().nth(at).expect("it is one of them");
@@ -226,7 +226,7 @@
     pub fn send_beside(&mut self, daemon: usize, request: Fingerprint, run_ms: Millis) {
         let has_fatal = |server: &Server| server.runs.iter().any(|run| run.request == FATAL);
         let server = self.servers.iter().position(has_fatal);
-        let is_free = self.books[daemon].verdict(request) == Verdict::Free;
+        let is_free = self.books[daemon].verdict(request) == Verdict::Allowed;
         match server {
             Some(server) if is_free => {
                 let ends = self.now + run_ms;
@@ -245,18 +245,18 @@
         let runs = std::mem::take(&mut server.runs);
         if runs.iter().any(|run| run.request == FATAL) {
             self.crashes += 1;
-            if self.crashes == BLOCKED_AFTER {
+            if self.crashes == CRASHES_TO_BLOCK {
                 self.third_at = Some(self.now);
             }
         }
         for run in &runs {
             if !self.is_down(run.daemon) {
-                self.books[run.daemon].broke_off(self.now, &start, run.request);
+                self.books[run.daemon].record_disconnect(self.now, &start, run.request);
             }
         }
         for daemon in 0..self.books.len() {
             if runs.iter().any(|run| run.daemon == daemon) && !self.is_down(daemon) {
-                let news = self.books[daemon].crashed(self.now, &start);
+                let news = self.books[daemon].record_crash(self.now, &start);
                 self.tell(daemon, &news);
             }
         }
@@ -279,7 +279,7 @@
             self.servers[number].runs = running;
             for run in ended {
                 if !self.is_down(run.daemon) {
-                    let news = self.books[run.daemon].succeeded(self.now, run.request);
+                    let news = self.books[run.daemon].record_success(self.now, run.request);
                     self.tell(run.daemon, &news);
                 }
             }
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_header.rs
@@ -1,6 +1,6 @@
 //! What servers may say of their limits.
 
-use bankcove_core::limits::{LimitWord, RequestRate};
+use bankcove_core::limits::{LimitHeader, RequestRate};
 use yare::parameterized;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -17,7 +17,7 @@
     one_of_two_unreadable = { "many, 1.5", 1.5 },
 )]
 fn a_rate_is_read(text: &str, per_second: f64) {
-    assert_eq!(LimitWord::read([text]), LimitWord::Named(rate(per_second)));
+    assert_eq!(LimitHeader::parse([text]), LimitHeader::Limit(rate(per_second)));
 }
 
 #[parameterized(
@@ -28,11 +28,11 @@
     empty = { "" },
 )]
 fn what_is_no_rate_is_told(text: &str) {
-    assert_eq!(LimitWord::read([text]), LimitWord::Unreadable(text.to_owned()));
+    assert_eq!(LimitHeader::parse([text]), LimitHeader::Malformed(text.to_owned()));
 }
 
 #[test]
 fn the_lowest_of_two_headers_counts_and_no_header_says_nothing() {
-    assert_eq!(LimitWord::read(["3", "x", "2"]), LimitWord::Named(rate(2.0)));
-    assert_eq!(LimitWord::read([]), LimitWord::None);
+    assert_eq!(LimitHeader::parse(["3", "x", "2"]), LimitHeader::Limit(rate(2.0)));
+    assert_eq!(LimitHeader::parse([]), LimitHeader::Absent);
 }
--- a/crates/core/tests/limit_issuer.rs
+++ b/crates/core/tests/limit_issuer.rs
@@ -2,7 +2,8 @@
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::limits::{
-    ISSUERS, Issued, Issuer, Leases, PERMIT_MS, Place, RequestRate, Returns, Wish,
+    ISSUERS_PER_SERVER, Issued, Issuer, IssuerRank, Leases, PERMIT_LIFETIME_MS, PermitRequest,
+    RequestRate, RetrySchedule,
 };
 use bankcove_core::{Incarnation, Millis, Name};
 use yare::parameterized;
@@ -20,9 +21,9 @@
     urgency: u32,
 ) -> Issued {
     let limit = RequestRate::new(per_s).expect("it is a rate");
-    let wish = Wish { from: Incarnation(from), permits: 1, urgency };
+    let wish = PermitRequest { from: Incarnation(from), permits: 1, urgency };
     // The fleet is as it was for long.
-    issuer.issue(now, &server(), limit, Place { rank, since: 0 }, wish)
+    issuer.issue(now, &server(), limit, IssuerRank { rank, since: 0 }, wish)
 }
 
 /// Permits of one issuer that is asked each millisecond from 10 s on for so long.
@@ -37,7 +38,7 @@
     let seconds = 100.0;
     let first = f64::from(issued(0, per_s, 100_000));
     assert!(first >= 0.8 * per_s * seconds, "{first} of the first alone");
-    let all: u32 = (0..ISSUERS + 3).map(|rank| issued(rank, per_s, 100_000)).sum();
+    let all: u32 = (0..ISSUERS_PER_SERVER + 3).map(|rank| issued(rank, per_s, 100_000)).sum();
     let most = 1.3 * per_s * seconds + 4.0;
     assert!(f64::from(all) <= most, "{all} of {most}");
 }
@@ -46,8 +47,8 @@
 fn who_starts_anew_has_saved_up_nothing_and_issues_less_at_first() {
     let mut issuer = Issuer::default();
     let limit = RequestRate::new(10.0).expect("it is a rate");
-    let wish = Wish { from: Incarnation(1), permits: 1, urgency: 0 };
-    let place = Place { rank: 0, since: 10_000 };
+    let wish = PermitRequest { from: Incarnation(1), permits: 1, urgency: 0 };
+    let place = IssuerRank { rank: 0, since: 10_000 };
     let count = |issuer: &mut Issuer, from: Millis| -> u32 {
         let times = (from..from + 4_000).step_by(10);
         times.map(|now| issuer.issue(now, &server(), limit, place, wish).permits).sum()
@@ -89,25 +90,25 @@
     let mut leases = Leases::default();
     leases.add(1_000, &server(), 2);
     let until = leases.take(1_100, &server()).expect("two are there");
-    assert_eq!(until, 1_000 + PERMIT_MS);
+    assert_eq!(until, 1_000 + PERMIT_LIFETIME_MS);
     leases.give_back(1_150, &server(), until);
     assert_eq!(leases.left(1_150, &server()), 2);
     // A host that was suspended meanwhile has none.
-    assert!(leases.take(1_000 + PERMIT_MS, &server()).is_none());
-    leases.give_back(1_000 + PERMIT_MS, &server(), until);
+    assert!(leases.take(1_000 + PERMIT_LIFETIME_MS, &server()).is_none());
+    leases.give_back(1_000 + PERMIT_LIFETIME_MS, &server(), until);
     leases.add(2_000, &server(), 1);
     assert_eq!(leases.left(2_000, &server()), 1);
 }
 
 #[test]
 fn callers_come_back_one_after_the_other_and_none_too_late() {
-    let mut returns = Returns::default();
+    let mut returns = RetrySchedule::default();
     let service = Name::from("pool");
     let times: Vec<Millis> =
-        (0..8).map(|_| returns.next(1_000, &service, 100, 2.0, u64::MAX / 2)).collect();
+        (0..8).map(|_| returns.next_delay(1_000, &service, 100, 2.0, u64::MAX / 2)).collect();
     assert_eq!(times[0], 100);
     assert!(times.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{times:?}");
     let late: Vec<Millis> =
-        (0..50).map(|_| returns.next(1_000, &service, 100, 0.0, u64::MAX / 2)).collect();
+        (0..50).map(|_| returns.next_delay(1_000, &service, 100, 0.0, u64::MAX / 2)).collect();
     assert!(late.iter().all(|after| *after <= 5_000), "{late:?}");
 }
--- a/crates/core/tests/limit_book.rs
+++ b/crates/core/tests/limit_tracker.rs
@@ -1,7 +1,7 @@
 //! Which of two words of a server is the newer one, on one daemon and between daemons.
 
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::limits::{LimitBook, LimitFact, LimitWord, RequestRate, UNDER_WAY_MS};
+use bankcove_core::limits::{LimitFact, LimitHeader, LimitTracker, MAX_TRANSIT_MS, RequestRate};
 use bankcove_core::{Millis, Name};
 
 fn server(n: u64) -> ServerStart {
@@ -12,14 +12,14 @@
     RequestRate::new(per_second)
 }
 
-fn named(per_second: f64) -> LimitWord {
-    rate(per_second).map_or(LimitWord::None, LimitWord::Named)
+fn named(per_second: f64) -> LimitHeader {
+    rate(per_second).map_or(LimitHeader::Absent, LimitHeader::Limit)
 }
 
 /// A book whose server named 2 a second in an answer that came at 1,000.
-fn book() -> LimitBook {
-    let mut book = LimitBook::default();
-    let change = book.heard(1_000, &server(1), 900, &named(2.0)).expect("it is new");
+fn book() -> LimitTracker {
+    let mut book = LimitTracker::default();
+    let change = book.record_response(1_000, &server(1), 900, &named(2.0)).expect("it is new");
     assert_eq!((change.before, change.fact.limit), (None, rate(2.0)));
     book
 }
@@ -28,21 +28,21 @@
 fn a_stricter_word_counts_at_once_and_a_laxer_one_by_a_later_request_alone() {
     let mut book = book();
     // The answer of a request that was sent before the limit was known may be the older one.
-    assert!(book.heard(1_100, &server(1), 950, &named(5.0)).is_none());
-    assert!(book.heard(1_100, &server(1), 950, &LimitWord::None).is_none());
+    assert!(book.record_response(1_100, &server(1), 950, &named(5.0)).is_none());
+    assert!(book.record_response(1_100, &server(1), 950, &LimitHeader::Absent).is_none());
     assert_eq!(book.limit(&server(1)), rate(2.0));
-    assert!(book.heard(1_100, &server(1), 950, &named(1.0)).is_some());
-    assert!(book.heard(1_200, &server(1), 1_150, &named(5.0)).is_some());
-    assert!(book.heard(1_300, &server(1), 1_250, &LimitWord::None).is_some());
+    assert!(book.record_response(1_100, &server(1), 950, &named(1.0)).is_some());
+    assert!(book.record_response(1_200, &server(1), 1_150, &named(5.0)).is_some());
+    assert!(book.record_response(1_300, &server(1), 1_250, &LimitHeader::Absent).is_some());
     assert_eq!(book.limit(&server(1)), None);
 }
 
 #[test]
 fn what_can_not_be_read_neither_sets_nor_lifts() {
     let mut book = book();
-    let unreadable = LimitWord::Unreadable("many".to_owned());
-    assert!(book.heard(2_000, &server(1), 1_900, &unreadable).is_none());
-    assert!(book.heard(2_000, &server(2), 1_900, &unreadable).is_none());
+    let unreadable = LimitHeader::Malformed("many".to_owned());
+    assert!(book.record_response(2_000, &server(1), 1_900, &unreadable).is_none());
+    assert!(book.record_response(2_000, &server(2), 1_900, &unreadable).is_none());
     assert_eq!(book.limit(&server(1)), rate(2.0));
     assert_eq!(book.limit(&server(2)), None);
 }
@@ -60,43 +60,43 @@
     for turn in 1..100_u64 {
         let now = 1_000 + turn * 50;
         // Requests take 60 ms, so that another answer has come since each was sent.
-        let word = if turn % 2 == 0 { named(2.0) } else { LimitWord::None };
-        book.heard(now, &server(1), now - 60, &word);
+        let word = if turn % 2 == 0 { named(2.0) } else { LimitHeader::Absent };
+        book.record_response(now, &server(1), now - 60, &word);
         laxer_ms += if book.limit(&server(1)).is_none() { 50 } else { 0 };
     }
     assert_eq!(laxer_ms, 0);
 }
 
-fn told(limit: Option<f64>, asked_age_ms: Millis, heard_age_ms: Millis) -> LimitFact {
-    LimitFact { server: server(1), limit: limit.and_then(rate), asked_age_ms, heard_age_ms }
+fn told(limit: Option<f64>, asked_age_ms: Millis, received_age_ms: Millis) -> LimitFact {
+    LimitFact { server: server(1), limit: limit.and_then(rate), asked_age_ms, received_age_ms }
 }
 
 #[test]
 fn between_daemons_the_laxer_word_must_be_later_by_more_than_messages_take() {
     let mut book = book();
-    let later = 1_000 + UNDER_WAY_MS;
-    assert!(book.told(later + 100, &[told(None, 100, 50)]).is_empty());
-    assert_eq!(book.told(later + 101, &[told(None, 100, 50)]).len(), 1);
+    let later = 1_000 + MAX_TRANSIT_MS;
+    assert!(book.merge(later + 100, &[told(None, 100, 50)]).is_empty());
+    assert_eq!(book.merge(later + 101, &[told(None, 100, 50)]).len(), 1);
     // A word that was heard before the request of the lift was sent comes late.
-    assert!(book.told(later + 2_000, &[told(Some(2.0), 2_500, 2_400)]).is_empty());
+    assert!(book.merge(later + 2_000, &[told(Some(2.0), 2_500, 2_400)]).is_empty());
     // One that may have been heard after it counts.
-    assert_eq!(book.told(later + 2_000, &[told(Some(2.0), 2_300, 2_200)]).len(), 1);
+    assert_eq!(book.merge(later + 2_000, &[told(Some(2.0), 2_300, 2_200)]).len(), 1);
 }
 
 #[test]
 fn two_daemons_that_know_the_same_limits_have_the_same_digest() {
-    let mut one = LimitBook::default();
-    let mut other = LimitBook::default();
+    let mut one = LimitTracker::default();
+    let mut other = LimitTracker::default();
     for n in 0..50 {
-        one.heard(1_000, &server(n), 900, &named(1.0 + n as f64));
+        one.record_response(1_000, &server(n), 900, &named(1.0 + n as f64));
     }
     for n in (0..50).rev() {
-        other.heard(5_000, &server(n), 900, &named(9.0));
+        other.record_response(5_000, &server(n), 900, &named(9.0));
     }
     assert_ne!(one.digest(), other.digest());
-    other.told(6_000, &one.facts(2_000, usize::MAX, 3));
+    other.merge(6_000, &one.facts(2_000, usize::MAX, 3));
     for n in 0..50 {
-        other.heard(9_000, &server(n), 8_000, &named(1.0 + n as f64));
+        other.record_response(9_000, &server(n), 8_000, &named(1.0 + n as f64));
     }
     assert_eq!(one.digest(), other.digest());
     one.forget_old(200_000, |_| false);
@@ -106,11 +106,11 @@
 /// Each of 10,000 servers names another limit each second.
 #[test]
 fn a_flood_of_words_grows_nothing_and_is_told_in_parts() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTracker::default();
     for second in 1..20_u64 {
         for n in 0..10_000 {
             let now = second * 1_000;
-            book.heard(now, &server(n), now - 1, &named(second as f64));
+            book.record_response(now, &server(n), now - 1, &named(second as f64));
         }
     }
     assert_eq!(book.facts(20_000, usize::MAX, 0).len(), 10_000);
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -5,7 +5,7 @@
 
 use bankcove_core::hints::{Hint, ServerHints, read_leaving, read_rest};
 use bankcove_core::lifecycle::NothingRan;
-use bankcove_core::limits::LimitWord;
+use bankcove_core::limits::LimitHeader;
 use bankcove_core::router::{Choice, LoadReport};
 use bankcove_core::table::ServerKind;
 use bankcove_core::{AttemptId, Fingerprint, Millis, Name, Tokens};
@@ -147,7 +147,7 @@
     let asks_for_rest = res.status() == StatusCode::SERVICE_UNAVAILABLE;
     let rest = || read_rest(values(RETRY_AFTER.as_str()), values(DATE.as_str()).next());
     ServerHints {
-        limit: LimitWord::read(values(LIMIT_HEADER)),
+        limit: LimitHeader::parse(values(LIMIT_HEADER)),
         leaving: read_leaving(values(LEAVING_HEADER)),
         rest: if asks_for_rest { rest() } else { Hint::Absent },
     }
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use bankcove_core::crashes::{Place, Verdict};
+use bankcove_core::crashes::{Placement, Verdict};
 use bankcove_core::lifecycle::{Admitted, Attempt, Dispatched, NotRun};
 use bankcove_core::reqlog::Entry;
 use bankcove_core::router::{Choice, Homes, NoServer, Wanted};
@@ -65,7 +65,7 @@
     api: &Api,
     need: &Need<'_>,
     tried: &[Name],
-    place: Option<Place>,
+    place: Option<Placement>,
 ) -> Result<Permit, NoServer> {
     // One that gave no permit is not chosen again for a while.
     loop {
@@ -81,7 +81,7 @@
     api: &Api,
     need: &Need,
     tried: &[Name],
-    place: Option<Place>,
+    place: Option<Placement>,
 ) -> Result<Choice, NoServer> {
     let wanted = Wanted {
         pool: need.pool,
@@ -250,9 +250,10 @@
     fingerprint: Fingerprint,
 ) -> Result<(Attempt<Admitted>, Option<RunApart>), Problem> {
     let verdict = api.requests.crashes.settled(Millis::MAX, || fingerprint).await;
-    let apart =
-        (verdict == Verdict::Apart).then(|| api.requests.crashes.run_apart(fingerprint)).flatten();
-    if matches!(verdict, Verdict::Free | Verdict::Suspect) || apart.is_some() {
+    let apart = (verdict == Verdict::Isolated)
+        .then(|| api.requests.crashes.run_apart(fingerprint))
+        .flatten();
+    if matches!(verdict, Verdict::Allowed | Verdict::Suspect) || apart.is_some() {
         return Ok((attempt, apart));
     }
     let not_run = give_back(api, attempt, need);
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use bankcove_core::crashes::{
-    Block, CrashBook, CrashFacts, Gauge, Place, SETTLE_MS, ServerStart, Verdict,
+    Block, CrashFacts, CrashStats, CrashTracker, DECISION_DELAY_MS, Placement, ServerStart, Verdict,
 };
 use bankcove_core::router::{Choice, Router};
 use bankcove_core::{Fingerprint, Millis};
@@ -37,10 +37,10 @@
     fleet: Fleet,
     router: Arc<Mutex<Router>>,
     store: Store,
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashTracker>,
     /// Whether anything is known: while nothing is, no request is hashed or looked up.
     is_active: AtomicBool,
-    /// [`CrashBook::digest`] after the last change: at most 0.6 ms to compute, and read by
+    /// [`CrashTracker::digest`] after the last change: at most 0.6 ms to compute, and read by
     /// each of twelve heartbeats a second.
     digest: AtomicU64,
     /// News that peers are to be told next, and when each was taken in.
@@ -77,39 +77,39 @@
     }
 
     /// Changes the book by `change`.
-    fn change<T>(&self, now: Millis, change: impl FnOnce(&mut CrashBook) -> T) -> T {
+    fn change<T>(&self, now: Millis, change: impl FnOnce(&mut CrashTracker) -> T) -> T {
         let mut book = self.book.lock();
         let changed = change(&mut book);
         self.digest.store(book.digest(now), Ordering::Relaxed);
         self.is_active.store(!book.is_empty(), Ordering::Relaxed);
-        if book.has_to_decide() {
+        if book.has_pending() {
             self.to_decide.notify_one();
         }
         changed
     }
 
     /// Reads the book by `read`; none while nothing is known.
-    fn read<T>(&self, read: impl FnOnce(&CrashBook) -> T) -> Option<T> {
+    fn read<T>(&self, read: impl FnOnce(&CrashTracker) -> T) -> Option<T> {
         let is_active = self.is_active.load(Ordering::Relaxed);
         is_active.then(|| read(&self.book.lock()))
     }
 
     /// How much is remembered.
-    pub fn gauge(&self) -> Gauge {
-        self.book.lock().gauge()
+    pub fn gauge(&self) -> CrashStats {
+        self.book.lock().stats()
     }
 
     /// What follows for a request that is to run now.
     pub fn verdict(&self, request: impl FnOnce() -> Fingerprint) -> Verdict {
-        self.read(|book| book.verdict(request())).unwrap_or(Verdict::Free)
+        self.read(|book| book.verdict(request())).unwrap_or(Verdict::Allowed)
     }
 
     /// Where a suspect is to run; none for a request that may run anywhere.
-    pub fn place(&self, request: impl FnOnce() -> Fingerprint) -> Option<Place> {
+    pub fn place(&self, request: impl FnOnce() -> Fingerprint) -> Option<Placement> {
         let place = self.read(|book| {
             let request = request();
-            let is_placed = matches!(book.verdict(request), Verdict::Suspect | Verdict::Apart);
-            is_placed.then(|| book.place(request))
+            let is_placed = matches!(book.verdict(request), Verdict::Suspect | Verdict::Isolated);
+            is_placed.then(|| book.placement(request))
         });
         place.flatten()
     }
@@ -122,7 +122,7 @@
             return;
         }
         let server = ServerStart { name: choice.server.clone(), started_ms: choice.started_ms };
-        let broke = self.change(now, |book| book.broke_off(now, &server, request));
+        let broke = self.change(now, |book| book.record_disconnect(now, &server, request));
         let (is_unsure, news) = broke;
         self.take_news(&news, Origin::Here);
         if is_unsure {
@@ -150,11 +150,11 @@
         // Nearly all requests are aboard of no crash, and end here.
         let concerned = self.read(|book| {
             let request = request();
-            book.concerns(request).then_some(request)
+            book.tracks(request).then_some(request)
         });
         let Some(request) = concerned.flatten() else { return };
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.succeeded(now, request));
+        let news = self.change(now, |book| book.record_success(now, request));
         self.take_news(&news, Origin::Here);
     }
 
@@ -165,7 +165,7 @@
                 () = self.to_decide.notified() => {}
                 () = self.fleet.base.ended.cancelled() => return,
             }
-            tokio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
             let now = self.fleet.base.clock.now();
             let news = self.change(now, |book| book.decide(now));
             self.take_news(&news, Origin::Here);
@@ -210,7 +210,7 @@
             self.fleet.base.metrics.count("server.crashed");
             slog::info!(self.fleet.base.log, "server crashed";
                 "server" => %crash.server.name, "started_ms" => crash.server.started_ms,
-                "age_ms" => crash.age_ms, "aboard" => list(&crash.aboard), "found_here" => is_own);
+                "age_ms" => crash.age_ms, "aboard" => list(&crash.running), "found_here" => is_own);
         }
         for cleared in &news.cleared {
             slog::info!(self.fleet.base.log, "request cleared";
--- a/crates/daemon/src/crashes/gate.rs
+++ b/crates/daemon/src/crashes/gate.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bankcove_core::crashes::{SETTLE_MS, Verdict};
+use bankcove_core::crashes::{DECISION_DELAY_MS, Verdict};
 use bankcove_core::{Fingerprint, Millis};
 use parking_lot::Mutex;
 
@@ -15,8 +15,8 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// Longest wait, in milliseconds: a crash is found out within some 130 ms as a rule, and decided on
-/// after [`SETTLE_MS`]. Who is refused instead comes back after a second.
-const MOST_WAIT_MS: Millis = 2 * SETTLE_MS;
+/// after [`DECISION_DELAY_MS`]. Who is refused instead comes back after a second.
+const MOST_WAIT_MS: Millis = 2 * DECISION_DELAY_MS;
 
 /// Requests that run apart here.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
         let until = deadline.min(self.fleet.base.clock.now() + MOST_WAIT_MS);
         loop {
             let verdict = self.verdict(&request);
-            if verdict != Verdict::Held || self.fleet.base.clock.now() >= until {
+            if verdict != Verdict::Undecided || self.fleet.base.clock.now() >= until {
                 return verdict;
             }
             tokio::time::sleep(LOOK).await;
--- a/crates/daemon/src/crashes/keep.rs
+++ b/crates/daemon/src/crashes/keep.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bankcove_core::crashes::{Block, CrashFacts, HOLD_MS};
+use bankcove_core::crashes::{BLOCK_DURATION_MS, Block, CrashFacts};
 use bankcove_core::{Fingerprint, Millis, Name};
 use bankcove_ports::{Kind, WriteOutcome};
 use serde::{Deserialize, Serialize};
@@ -129,7 +129,7 @@
     let book = crashes.book.lock();
     kept.blocks.retain(|request, block| {
         let age_ms = now_ms.saturating_sub(block.blocked_ms);
-        age_ms < HOLD_MS && !book.is_cleared_since(*request, now.saturating_sub(age_ms))
+        age_ms < BLOCK_DURATION_MS && !book.is_cleared_since(*request, now.saturating_sub(age_ms))
     });
     for block in book.blocks(now) {
         let blocked_ms = now_ms.saturating_sub(block.age_ms);
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -68,7 +68,7 @@
     /// Takes in what a peer has told.
     pub fn told(self: &Arc<Self>, facts: CrashFacts) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.told(now, facts));
+        let news = self.change(now, |book| book.merge(now, facts));
         self.take_news(&news, Origin::Told);
     }
 
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -113,9 +113,9 @@
     pub async fn pass_crashes(&mut self) -> Result<(), Refusal> {
         let requests = &self.entry.requests;
         let refusal = match requests.crashes.settled(self.deadline, || self.fingerprint()).await {
-            Verdict::Free | Verdict::Suspect => return Ok(()),
-            Verdict::Apart if self.may_run_apart() => return Ok(()),
-            Verdict::Apart | Verdict::Held => Refusal::CrashesInDoubt,
+            Verdict::Allowed | Verdict::Suspect => return Ok(()),
+            Verdict::Isolated if self.may_run_apart() => return Ok(()),
+            Verdict::Isolated | Verdict::Undecided => Refusal::CrashesInDoubt,
             Verdict::Blocked => Refusal::CrashesServers,
         };
         slog::info!(self.log, "not sent for its crashes";
@@ -141,7 +141,7 @@
             return false;
         }
         // A suspect's repeats would crash a server each, and use up those of honest requests.
-        if self.verdict() != Verdict::Free {
+        if self.verdict() != Verdict::Allowed {
             return false;
         }
         let requests = &self.entry.requests;
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -17,7 +17,7 @@
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::HintFact;
-use bankcove_core::limits::{Issuer, Leases, LimitBook, LimitFact, Returns};
+use bankcove_core::limits::{Issuer, Leases, LimitFact, LimitTracker, RetrySchedule};
 use bankcove_core::router::{AtLimit, NoServer, Resting, Router};
 use bankcove_core::{Millis, Name};
 use parking_lot::Mutex;
@@ -40,10 +40,10 @@
 pub struct Hints {
     fleet: Fleet,
     router: Arc<Mutex<Router>>,
-    book: Mutex<LimitBook>,
+    book: Mutex<LimitTracker>,
     issuer: Mutex<Issuer>,
     leases: Mutex<Leases>,
-    returns: Mutex<Returns>,
+    returns: Mutex<RetrySchedule>,
     /// Who is in the fleet, as [`bankcove_core::members::Members::digest`], and since when.
     known_as: Mutex<(u64, Millis)>,
     /// Issuers that did not answer are passed over until then.
@@ -54,7 +54,7 @@
     has_limits: AtomicBool,
     /// Set once a server leaves or rests, so that the common path skips the lock.
     has_closed: AtomicBool,
-    /// [`LimitBook::digest`] after the last change.
+    /// [`LimitTracker::digest`] after the last change.
     limits_digest: AtomicU64,
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
@@ -88,7 +88,7 @@
         }
     }
 
-    fn change_limits<T>(&self, change: impl FnOnce(&mut LimitBook) -> T) -> T {
+    fn change_limits<T>(&self, change: impl FnOnce(&mut LimitTracker) -> T) -> T {
         let mut book = self.book.lock();
         let changed = change(&mut book);
         self.has_limits.store(!book.is_empty(), Ordering::Relaxed);
@@ -133,7 +133,7 @@
 
     fn next_return(&self, service: &Name, first_ms: Millis, per_second: f64) -> Millis {
         let now = self.fleet.base.clock.now();
-        self.returns.lock().next(now, service, first_ms, per_second, rand::random())
+        self.returns.lock().next_delay(now, service, first_ms, per_second, rand::random())
     }
 
     /// Since when the fleet is as it is.
@@ -183,7 +183,7 @@
             json!({
                 "server": fact.server.name, "started_ms": fact.server.started_ms,
                 "per_s": fact.limit.map(|rate| rate.per_second()),
-                "heard_ms_ago": fact.heard_age_ms,
+                "heard_ms_ago": fact.received_age_ms,
                 "permits_here": self.leases.lock().left(now, &fact.server),
                 "issuer_rank": level.map(|(rank, _)| rank),
                 "permits_to_issue": level.map(|(_, left)| left),
--- a/crates/daemon/src/hints/issue.rs
+++ b/crates/daemon/src/hints/issue.rs
@@ -1,7 +1,7 @@
 //! Issues permits to peers and to this daemon itself.
 
 use bankcove_core::Millis;
-use bankcove_core::limits::{Issued, LimitFact, Place, Wish};
+use bankcove_core::limits::{Issued, IssuerRank, LimitFact, PermitRequest};
 
 use crate::hints::Hints;
 use crate::peer::PermitAnswer;
@@ -16,7 +16,7 @@
 
 impl Hints {
     /// Issues permits for the server that the asker knows this of.
-    pub fn issue(&self, fact: &LimitFact, wish: Wish) -> PermitAnswer {
+    pub fn issue(&self, fact: &LimitFact, wish: PermitRequest) -> PermitAnswer {
         self.told_limits(std::slice::from_ref(fact));
         let now = self.fleet.base.clock.now();
         let known = self.book.lock().fact(now, &fact.server);
@@ -28,7 +28,7 @@
         // A daemon that takes itself for alone would rank first for every server.
         let rank = self.issuers(&fact.server).iter().position(Option::is_none);
         let rank = rank.filter(|_| self.fleet.size().is_some()).unwrap_or(usize::MAX);
-        let place = Place { rank, since: self.fleet_since() };
+        let place = IssuerRank { rank, since: self.fleet_since() };
         let issued = self.issuer.lock().issue(now, &fact.server, limit, place, wish);
         PermitAnswer { issued, is_free: false, newer }
     }
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -5,7 +5,7 @@
 use bankcove_core::Millis;
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::{Hint, HintFact, LeavingFact, ServerHints};
-use bankcove_core::limits::{Change, LimitFact, LimitWord};
+use bankcove_core::limits::{LimitChange, LimitFact, LimitHeader};
 use slog::Logger;
 
 use crate::hints::Hints;
@@ -73,15 +73,15 @@
             "server" => %server.name, "started_ms" => server.started_ms, "rest_ms" => rest_ms);
     }
 
-    fn observe_limit(&self, server: &ServerStart, asked_at: Millis, word: &LimitWord) {
-        if let LimitWord::Unreadable(text) = word {
+    fn observe_limit(&self, server: &ServerStart, asked_at: Millis, word: &LimitHeader) {
+        if let LimitHeader::Malformed(text) = word {
             self.log_unreadable(server, "limit", text);
         }
-        if *word == LimitWord::None && !self.has_limits.load(Ordering::Relaxed) {
+        if *word == LimitHeader::Absent && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
         let now = self.fleet.base.clock.now();
-        let change = self.change_limits(|book| book.heard(now, server, asked_at, word));
+        let change = self.change_limits(|book| book.record_response(now, server, asked_at, word));
         if let Some(change) = change {
             self.take_change(&change, Source::Server);
         }
@@ -107,7 +107,7 @@
     /// Takes in limits that a peer has told.
     pub(super) fn told_limits(&self, facts: &[LimitFact]) {
         let now = self.fleet.base.clock.now();
-        for change in &self.change_limits(|book| book.told(now, facts)) {
+        for change in &self.change_limits(|book| book.merge(now, facts)) {
             self.take_change(change, Source::Peer);
         }
     }
@@ -128,8 +128,8 @@
     }
 
     /// What changed is put to the router, logged, and told to peers.
-    fn take_change(&self, change: &Change, source: Source) {
-        let Change { before, fact } = change;
+    fn take_change(&self, change: &LimitChange, source: Source) {
+        let LimitChange { before, fact } = change;
         let now = self.fleet.base.clock.now();
         let (before, after) =
             (before.map(|rate| rate.per_second()), fact.limit.map(|rate| rate.per_second()));
@@ -142,7 +142,7 @@
         self.fleet.base.metrics.count(if after.is_some() { "limit.named" } else { "limit.lifted" });
         slog::info!(self.fleet.base.log, "{}", what;
             "server" => %fact.server.name, "started_ms" => fact.server.started_ms,
-            "before_per_s" => before, "per_s" => after, "age_ms" => fact.heard_age_ms,
+            "before_per_s" => before, "per_s" => after, "age_ms" => fact.received_age_ms,
             "from" => source.name());
         self.tell(HintFact::Limit(fact.clone()));
     }
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -7,7 +7,7 @@
 use bankcove_core::Millis;
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::Closed;
-use bankcove_core::limits::{ISSUERS, LimitFact, RequestRate, Wish};
+use bankcove_core::limits::{ISSUERS_PER_SERVER, LimitFact, PermitRequest, RequestRate};
 use bankcove_core::members::Peer;
 use bankcove_core::router::{AtLimit, Choice};
 use slog::Logger;
@@ -140,7 +140,7 @@
         let at_limit = self.pass_over(&server, limit, answer.issued.retry_ms);
         slog::info!(log, "server at its limit";
             "server" => %server.name, "per_s" => limit.per_second(), "issuer" => issuer,
-            "retry_ms" => at_limit.first_ms, "heard_ms_ago" => fact.heard_age_ms);
+            "retry_ms" => at_limit.first_ms, "heard_ms_ago" => fact.received_age_ms);
         Err(at_limit.into())
     }
 
@@ -158,8 +158,8 @@
             let until = now + ASK_TIMEOUT.as_millis() as Millis;
             self.router.lock().at_limit(&fact.server, limit.per_second(), until);
         }
-        let permits = self.leases.lock().wanted(now, &fact.server);
-        let wish = Wish { from: self.fleet.base.incarnation, permits, urgency };
+        let permits = self.leases.lock().permits_to_request(now, &fact.server);
+        let wish = PermitRequest { from: self.fleet.base.incarnation, permits, urgency };
         self.ask(fact.clone(), wish).await
     }
 
@@ -177,7 +177,7 @@
 
     fn pass_over(&self, server: &ServerStart, limit: RequestRate, retry_ms: Millis) -> AtLimit {
         let now = self.fleet.base.clock.now();
-        self.leases.lock().denied(now, server);
+        self.leases.lock().record_denial(now, server);
         let (first_ms, per_second) = (retry_ms.max(1), limit.per_second());
         self.router.lock().at_limit(server, per_second, now + first_ms);
         self.fleet.base.metrics.count("limit.passed_over");
@@ -193,7 +193,7 @@
     }
 
     /// Asks the first issuer that answers; tells its name.
-    async fn ask(self: &Arc<Self>, fact: LimitFact, wish: Wish) -> (String, PermitAnswer) {
+    async fn ask(self: &Arc<Self>, fact: LimitFact, wish: PermitRequest) -> (String, PermitAnswer) {
         if self.fleet.size().is_none() {
             return ("unknown fleet".to_owned(), PermitAnswer::none(NOBODY_MS));
         }
@@ -219,7 +219,12 @@
         ("nobody".to_owned(), PermitAnswer::none(NOBODY_MS))
     }
 
-    async fn ask_peer(&self, peer: &Peer, fact: &LimitFact, wish: Wish) -> Option<PermitAnswer> {
+    async fn ask_peer(
+        &self,
+        peer: &Peer,
+        fact: &LimitFact,
+        wish: PermitRequest,
+    ) -> Option<PermitAnswer> {
         let fact = fact.clone();
         let ask =
             |client: PeerServiceClient, cx| async move { client.permits(cx, fact, wish).await };
@@ -228,7 +233,7 @@
 
     /// Who issues permits for the server, in order; none stands for this daemon.
     pub(super) fn issuers(&self, server: &ServerStart) -> Vec<Option<Peer>> {
-        self.fleet.members.lock().owners_listed(server.key(), ISSUERS)
+        self.fleet.members.lock().owners_listed(server.key(), ISSUERS_PER_SERVER)
     }
 
     fn is_silent(&self, peer: &Peer) -> bool {
--- a/crates/daemon/src/hints/spread.rs
+++ b/crates/daemon/src/hints/spread.rs
@@ -7,7 +7,7 @@
 
 use bankcove_core::Millis;
 use bankcove_core::hints::HintFact;
-use bankcove_core::limits::UNDER_WAY_MS;
+use bankcove_core::limits::MAX_TRANSIT_MS;
 use tokio::sync::mpsc;
 
 use crate::fleet::Fleet;
@@ -31,8 +31,8 @@
 /// Shortest time between two questions for what a peer knows, in milliseconds.
 const ASK_PAUSE_MS: Millis = 1_000;
 
-/// Longest call: ages in it grow no older than [`UNDER_WAY_MS`] by it.
-const CALL_TIMEOUT: Duration = Duration::from_millis(UNDER_WAY_MS);
+/// Longest call: ages in it grow no older than [`MAX_TRANSIT_MS`] by it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(MAX_TRANSIT_MS);
 
 /// Pause after a message for each fact in it: under a flood of changes a daemon sends so
 /// much, and heartbeats bring the rest.
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -4,7 +4,7 @@
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
 use bankcove_core::holder::{Allotted, Ask, Holding};
-use bankcove_core::limits::{Issued, LimitFact, Wish};
+use bankcove_core::limits::{Issued, LimitFact, PermitRequest};
 use bankcove_core::members::{Heartbeat, Host};
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
 use bankcove_core::reqlog::{Entry, Outcome};
@@ -148,7 +148,7 @@
     /// What the receiver knows of what servers have said; some of it, when it is much.
     async fn hint_facts() -> Vec<HintFact>;
     /// Asks the receiver for permits for the server that the sender knows this of.
-    async fn permits(fact: LimitFact, wish: Wish) -> PermitAnswer;
+    async fn permits(fact: LimitFact, wish: PermitRequest) -> PermitAnswer;
     /// Keeps a bill until the store takes it.
     async fn keep_bill(bill: Bill);
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -7,7 +7,7 @@
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
 use bankcove_core::holder::{Allotted, Ask, Holding};
-use bankcove_core::limits::{LimitFact, Wish};
+use bankcove_core::limits::{LimitFact, PermitRequest};
 use bankcove_core::members::Heartbeat;
 use bankcove_core::owner::Request;
 use bankcove_core::reqlog::{Entry, Outcome};
@@ -167,7 +167,7 @@
         self.daemon.hints.facts()
     }
 
-    async fn permits(self, _: Context, fact: LimitFact, wish: Wish) -> PermitAnswer {
+    async fn permits(self, _: Context, fact: LimitFact, wish: PermitRequest) -> PermitAnswer {
         self.daemon.hints.issue(&fact, wish)
     }
 
