--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -15,7 +15,7 @@
 use bankcove_core::limits::{ISSUERS, Issuer, LimitBook, LimitWord, Place, RequestRate, Wish};
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
 use bankcove_core::owner::{Event as OwnerEvent, Owner, Request};
-use bankcove_core::reqlog::{Entry, Event, RequestLog, Segment};
+use bankcove_core::request_log::{Entry, Event, RequestLog, Segment};
 use bankcove_core::router::Router;
 use bankcove_core::shard::Shard;
 use bankcove_core::table::Table;
@@ -117,14 +117,14 @@
     let mut shard = Shard::default();
     for n in 0..budgets {
         let ledger = shard.ledger(&Name::from(format!("budget-{n}")));
-        ledger.adopt_row(1_000_000_000, 1);
+        ledger.update_row(1_000_000_000, 1);
         for holder in 0..holders {
             let mut draw = draw(&Name::from(format!("budget-{n}")));
             draw.holder = Incarnation(holder * 7_919);
             draw.witnesses = vec![witness(1), witness(2)];
             ledger.grant(draw.holder, "10.12.34.56:8081", 100_000);
             ledger.open(draw.holder, 10_000);
-            ledger.name_witnesses(&draw);
+            ledger.record_witnesses(&draw);
         }
     }
     shard
@@ -215,7 +215,7 @@
 fn request_log(requests: usize) -> RequestLog {
     let mut log = RequestLog::new(0);
     log.handle(0, Event::Submitted(1, Entry::Bill(bill(requests + 1))));
-    log.handle(0, Event::Newest(None));
+    log.handle(0, Event::NewestFound(None));
     log.handle(0, Event::SegmentRead(0, Some(segment(requests))));
     log
 }
@@ -227,7 +227,7 @@
     let shard = shard(budgets, holders);
     let name = Name::from("budget-0");
     let mut owner = Owner::new(Incarnation(1), "10.12.34.56:8081", 0);
-    owner.handle(0, OwnerEvent::Asked(0, Request::Draw(draw(&name))));
+    owner.handle(0, OwnerEvent::Requested(0, Request::Draw(draw(&name))));
     owner.handle(0, OwnerEvent::Loaded(1, shard));
     owner.handle(0, OwnerEvent::Written(2));
     let started = Instant::now();
@@ -236,7 +236,7 @@
         let mut draw = draw(&name);
         // All that was granted is open and used: each draw takes a write.
         draw.opened = 1 << 40;
-        owner.handle(now, OwnerEvent::Asked(u64::from(round), Request::Draw(draw)));
+        owner.handle(now, OwnerEvent::Requested(u64::from(round), Request::Draw(draw)));
         owner.handle(now, OwnerEvent::Written(now + 2));
     }
     started.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
--- a/crates/bench/src/budget_world.rs
+++ b/crates/bench/src/budget_world.rs
@@ -224,7 +224,7 @@
             let shard = shard_of_budget(&name, BUDGET_SHARDS);
             let request = Request::TopUp { budget: name, id: "top-up".to_owned(), tokens };
             let owner = self.owner_of(shard, 0);
-            self.owner_event(owner, shard, Event::Asked(0, request));
+            self.owner_event(owner, shard, Event::Requested(0, request));
         }
     }
 
--- a/crates/bench/src/budget_world/caller.rs
+++ b/crates/bench/src/budget_world/caller.rs
@@ -153,7 +153,7 @@
         let asked = Asked { waiting, daemon, owner, budget: name.clone(), witnesses };
         self.tickets.insert(self.next_ticket, asked);
         self.outcome.messages += 2 * u64::from(owner != daemon);
-        let event = Event::Asked(self.next_ticket, Request::Draw(draw));
+        let event = Event::Requested(self.next_ticket, Request::Draw(draw));
         let at = self.now + if owner == daemon { 0 } else { LINK_MS };
         self.schedule.at(at, Happening::OwnerEvent { daemon: owner, shard, event });
     }
--- a/crates/bench/src/budget_world/owner.rs
+++ b/crates/bench/src/budget_world/owner.rs
@@ -46,7 +46,7 @@
                     let (version, value) = self.stored.get(&shard).cloned().unwrap_or_default();
                     Event::Loaded(version, value)
                 } else {
-                    Event::StoreAway
+                    Event::StoreUnavailable
                 };
                 self.schedule.at(self.now + STORE_MS, later(event));
             }
@@ -59,12 +59,12 @@
                 self.schedule.at(self.now + took, later(event));
             }
             Command::Reply(ticket, reply) => self.reply(ticket, reply, None),
-            Command::Give { own, ticket, draw, most, reply } => {
-                if let Some((granted, opened)) = own {
+            Command::Transfer { own_grant, ticket, draw, max, reply } => {
+                if let Some((granted, opened)) = own_grant {
                     self.holders[daemon].granted(&draw.budget, granted);
                     self.holders[daemon].opened(&draw.budget, opened);
                 }
-                self.give(daemon, ticket, &draw, most, reply);
+                self.give(daemon, ticket, &draw, max, reply);
             }
             Command::WakeAt(at) => self.schedule.at(at, later(Event::Tick)),
         }
@@ -103,7 +103,7 @@
         let opened = self.marks[witness.0 as usize].close(gone.incarnation, budget);
         let (budget, holder) = (budget.clone(), gone.incarnation);
         let request = Request::Reclaim { budget, holder, witness, opened };
-        let event = Event::Asked(0, request);
+        let event = Event::Requested(0, request);
         self.schedule.at(self.now, Happening::OwnerEvent { daemon, shard, event });
     }
 
@@ -116,7 +116,7 @@
     ) -> Event {
         self.outcome.writes += 1;
         if !self.store_answers(daemon) {
-            return Event::StoreAway;
+            return Event::StoreUnavailable;
         }
         let found = self.stored.get(&shard).map_or(0, |(version, _)| *version);
         if found != version {
@@ -158,7 +158,7 @@
             self.holders[daemon].received(&budget, sender, sent);
         }
         let free = self.holders[daemon].free(&budget);
-        (Event::Gathered { budget, free, more_may_come: true }, took)
+        (Event::Gathered { budget, free, more_expected: true }, took)
     }
 
     pub(super) fn give(
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod name;
 pub mod outage;
 pub mod owner;
-pub mod reqlog;
+pub mod request_log;
 pub mod retry_budget;
 pub mod router;
 pub mod server_list;
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -22,7 +22,7 @@
 /// only where grants are open as a whole, since sealed ones are drawn in time. With
 /// 1 s, what holders wanted was there 2 to 3 s later, and hosts that lost the store
 /// 6 s after the first request held too little.
-pub const AHEAD_WAIT_MS: Millis = 300;
+pub const PREFETCH_DELAY_MS: Millis = 300;
 
 /// A request that waited longer is dropped: its asker has given up on it, and
 /// an owner that was frozen must not act on what it was asked long ago.
--- a/crates/core/src/owner/draft.rs
+++ b/crates/core/src/owner/draft.rs
@@ -24,7 +24,7 @@
     let granted = ledger.granted_to(draw.holder);
     let opened = ledger.opened_by(draw.holder);
     let outlook = Some(ledger.outlook(draw.holder, &draw.terms));
-    let earlier_start = ledger.other_start_at(&draw.address, draw.holder);
+    let earlier_start = ledger.other_incarnation_at(&draw.address, draw.holder);
     Reply::Granted { granted, opened, recorded, outlook, earlier_start }
 }
 
@@ -34,7 +34,7 @@
     let available = ledger.available();
     // Nothing at first, so that the holder counts among those that share.
     ledger.grant(draw.holder, &draw.address, 0);
-    ledger.spends_at(draw.holder, draw.rate);
+    ledger.set_rate(draw.holder, draw.rate);
     let sealed = ledger.granted_to(draw.holder).saturating_sub(opened);
     let ahead = draw.terms.amount(draw.want, available + sealed);
     let share = ledger.share(draw.holder, &draw.terms);
@@ -51,7 +51,7 @@
     // Without witnesses nothing could be opened later, nor taken back.
     let open = if draw.witnesses.is_empty() { Tokens::MAX } else { opened + draw.open.max(need) };
     ledger.open(draw.holder, open);
-    ledger.name_witnesses(draw);
+    ledger.record_witnesses(draw);
 }
 
 /// The shard that the next write would make: only ledgers that are looked at
--- a/crates/core/src/owner/gather.rs
+++ b/crates/core/src/owner/gather.rs
@@ -21,7 +21,7 @@
     /// Tokens that are left of what it brought.
     pub(super) free: Tokens,
     /// Whether more may come: tokens reserved elsewhere, or silent holders.
-    pub(super) more_may_come: bool,
+    pub(super) more_expected: bool,
 }
 
 impl Gather {
@@ -80,9 +80,9 @@
     }
 
     /// A collection has ended.
-    pub(super) fn ended(&mut self, budget: Name, free: Tokens, more_may_come: bool) {
+    pub(super) fn ended(&mut self, budget: Name, free: Tokens, more_expected: bool) {
         let gather = self.by_budget.entry(budget).or_default();
-        *gather = Gather { running: false, ended: true, free, more_may_come, ..*gather };
+        *gather = Gather { running: false, ended: true, free, more_expected, ..*gather };
     }
 
     /// Takes the need of a draw, or a share, from what a collection brought.
--- a/crates/core/src/owner/machine.rs
+++ b/crates/core/src/owner/machine.rs
@@ -11,7 +11,7 @@
 use crate::owner::draft::Draft;
 use crate::owner::gather::Gathers;
 use crate::owner::message::{Command, Event, Reply, Request, Ticket};
-use crate::owner::{AHEAD_WAIT_MS, MAX_REQUEST_AGE_MS, RETRY_SOON_MS};
+use crate::owner::{MAX_REQUEST_AGE_MS, PREFETCH_DELAY_MS, RETRY_SOON_MS};
 use crate::shard::Shard;
 use crate::{Incarnation, Millis, Tokens};
 
@@ -19,10 +19,10 @@
 const WRITE_BURST: u64 = 7;
 
 /// A shard read longer ago than this is read again before a refusal.
-const RELOAD_AFTER_MS: Millis = 1_000;
+const MAX_SHARD_AGE_MS: Millis = 1_000;
 
 /// How long the store is left alone after it was away.
-const STORE_PAUSE_MS: Millis = 500;
+const STORE_RETRY_DELAY_MS: Millis = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -42,7 +42,7 @@
     /// Whether it does not wait for others any more.
     fn is_due(&self, now: Millis) -> bool {
         let is_ahead = matches!(&self.request, Request::Draw(draw) if draw.need == 0);
-        !is_ahead || now >= self.arrived + AHEAD_WAIT_MS
+        !is_ahead || now >= self.arrived + PREFETCH_DELAY_MS
     }
 }
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 enum Outcome {
     Reply(Reply),
-    Give { own: Option<(Tokens, Tokens)>, most: Tokens, need: Tokens, reply: Reply },
+    Transfer { own_grant: Option<(Tokens, Tokens)>, max: Tokens, need: Tokens, reply: Reply },
 }
 
 /// What is to become of one request in this round.
@@ -132,17 +132,17 @@
 
     /// The shard as last read or written.
     pub fn shard(&self) -> Option<&Shard> {
-        self.stored().map(|(_, shard)| shard)
+        self.versioned_shard().map(|(_, shard)| shard)
     }
 
     /// The same, with its version.
-    pub fn stored(&self) -> Option<(u64, &Shard)> {
+    pub fn versioned_shard(&self) -> Option<(u64, &Shard)> {
         self.shard.as_ref().map(|(version, shard)| (*version, shard))
     }
 
     /// Takes in a request that comes together with others: nothing is done
     /// until the next event, so that one write serves them all.
-    pub fn ask(&mut self, now: Millis, ticket: Ticket, request: Request) {
+    pub fn enqueue(&mut self, now: Millis, ticket: Ticket, request: Request) {
         self.pending.push_back(Pending { ticket, request, arrived: now });
     }
 
@@ -150,7 +150,7 @@
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         match event {
-            Event::Asked(ticket, request) => self.ask(now, ticket, request),
+            Event::Requested(ticket, request) => self.enqueue(now, ticket, request),
             Event::Loaded(version, shard) => self.loaded(now, version, shard),
             Event::Written(version) => self.written(now, version, &mut commands),
             Event::Conflict => {
@@ -163,9 +163,9 @@
                 self.loaded(now, version, shard);
             }
             Event::Ambiguous => self.write_failed(),
-            Event::StoreAway => self.store_away(now),
-            Event::Gathered { budget, free, more_may_come } => {
-                self.gathers.ended(budget, free, more_may_come);
+            Event::StoreUnavailable => self.store_away(now),
+            Event::Gathered { budget, free, more_expected } => {
+                self.gathers.ended(budget, free, more_expected);
             }
             Event::Tick => {}
         }
@@ -219,7 +219,7 @@
 
     fn store_away(&mut self, now: Millis) {
         self.phase = Phase::Idle;
-        self.store_away_until = now + STORE_PAUSE_MS;
+        self.store_away_until = now + STORE_RETRY_DELAY_MS;
         self.put_back();
     }
 
@@ -318,7 +318,7 @@
                 if !self.may_write(now, commands) {
                     return Decision::Wait;
                 }
-                ledger.top_up(id, *tokens);
+                ledger.record_top_up(id, *tokens);
                 Decision::AfterWrite(Outcome::Reply(Reply::Recorded))
             }
             Request::Retire { holder, kept, .. } => {
@@ -351,12 +351,12 @@
 
 fn answer(pending: Pending, outcome: Outcome, commands: &mut Vec<Command>) {
     let command = match (outcome, pending.request) {
-        (Outcome::Give { own, most, need, reply }, Request::Draw(draw)) => {
+        (Outcome::Transfer { own_grant, max, need, reply }, Request::Draw(draw)) => {
             let (ticket, draw) = (pending.ticket, Box::new(Draw { need, ..draw }));
-            Command::Give { own, ticket, draw, most, reply }
+            Command::Transfer { own_grant, ticket, draw, max, reply }
         }
         (Outcome::Reply(reply), _) => Command::Reply(pending.ticket, reply),
-        (Outcome::Give { .. }, _) => return,
+        (Outcome::Transfer { .. }, _) => return,
     };
     commands.push(command);
 }
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -3,9 +3,9 @@
 use crate::holder::Draw;
 use crate::owner::draft::{Draft, grant_and_open, granted_reply, holders_of};
 use crate::owner::gather::{Gather, Lookup};
-use crate::owner::machine::{Decision, Outcome, Owner, Pending, RELOAD_AFTER_MS};
+use crate::owner::machine::{Decision, MAX_SHARD_AGE_MS, Outcome, Owner, Pending};
 use crate::owner::message::{Command, HolderRef, Reply};
-use crate::owner::{AHEAD_WAIT_MS, RETRY_LATER_MS, RETRY_SOON_MS};
+use crate::owner::{PREFETCH_DELAY_MS, RETRY_LATER_MS, RETRY_SOON_MS};
 use crate::shard::Ledger;
 use crate::{Millis, Name, Tokens};
 
@@ -26,11 +26,11 @@
             let retry_after_ms = RETRY_LATER_MS;
             return Decision::Answer(Outcome::Reply(Reply::Short { retry_after_ms }));
         }
-        ledger.adopt_row(draw.terms.tokens, draw.terms.version);
+        ledger.update_row(draw.terms.tokens, draw.terms.version);
         if self.waits_for_others(now, pending, draw, commands) {
             return Decision::Wait;
         }
-        let gives_back = ledger.take_back(draw.holder, draw.returned);
+        let gives_back = ledger.record_return(draw.holder, draw.returned);
         if gives_back && draw.want == 0 {
             if !self.may_write(now, commands) {
                 return Decision::Wait;
@@ -79,19 +79,19 @@
         if !draw.witnesses.is_empty() && ledger.is_full_for(draw.holder) {
             // The owner takes the grant and sends the tokens on.
             let amount = draw.terms.amount(draw.want, ledger.available()).max(need);
-            let own = Some(self.grant_to_me(ledger, amount));
+            let own_grant = Some(self.grant_to_me(ledger, amount));
             let reply = granted_reply(ledger, draw, false);
-            return Decision::AfterWrite(Outcome::Give { own, most: amount, need, reply });
+            return Decision::AfterWrite(Outcome::Transfer { own_grant, max: amount, need, reply });
         }
         if draw.witnesses.is_empty() && draw.holder == self.me {
             // Only the later start's own draw: one that was handed on may be
             // of the earlier start, and late. With witnesses, what an earlier
             // start never opened is taken back instead.
-            ledger.end_earlier_starts(draw.holder, &draw.address);
+            ledger.retire_earlier_incarnations(draw.holder, &draw.address);
         } else if let Some(earlier) = draw.ends
             && draw.witnesses.is_empty()
         {
-            ledger.end_earlier_start(earlier, draw.holder, &draw.address);
+            ledger.retire_earlier_incarnation(earlier, draw.holder, &draw.address);
         }
         grant_and_open(ledger, draw, need, opened);
         Decision::AfterWrite(Outcome::Reply(granted_reply(ledger, draw, true)))
@@ -107,7 +107,7 @@
         need: Tokens,
         commands: &mut Vec<Command>,
     ) -> Decision {
-        if self.loaded_at < pending.arrived && now >= self.loaded_at + RELOAD_AFTER_MS {
+        if self.loaded_at < pending.arrived && now >= self.loaded_at + MAX_SHARD_AGE_MS {
             self.reload_wanted = true;
             return Decision::Wait;
         }
@@ -123,18 +123,18 @@
             return Decision::Answer(Outcome::Reply(short(gather)));
         }
         if available == 0 {
-            let most = self.gathers.take(draw, need);
+            let max = self.gathers.take(draw, need);
             let reply = granted_reply(ledger, draw, false);
-            return Decision::Answer(Outcome::Give { own: None, most, need, reply });
+            return Decision::Answer(Outcome::Transfer { own_grant: None, max, need, reply });
         }
         if !self.may_write(now, commands) {
             return Decision::Wait;
         }
         // What the store has left goes by way of the owner, all in one piece.
-        let own = Some(self.grant_to_me(ledger, available));
-        let most = self.gathers.take(draw, need.saturating_sub(available)) + available;
+        let own_grant = Some(self.grant_to_me(ledger, available));
+        let max = self.gathers.take(draw, need.saturating_sub(available)) + available;
         let reply = granted_reply(ledger, draw, false);
-        Decision::AfterWrite(Outcome::Give { own, most, need, reply })
+        Decision::AfterWrite(Outcome::Transfer { own_grant, max, need, reply })
     }
 
     /// Whether a draw ahead is to wait for others; asks to be woken at its end.
@@ -148,7 +148,7 @@
         if draw.need > 0 || !draw.witnesses.is_empty() || self.is_write_due {
             return false;
         }
-        let until = pending.arrived + AHEAD_WAIT_MS;
+        let until = pending.arrived + PREFETCH_DELAY_MS;
         if now < until {
             self.wake_at(until, now, commands);
         }
@@ -184,6 +184,6 @@
 }
 
 fn short(gather: Gather) -> Reply {
-    let retry_after_ms = if gather.more_may_come { RETRY_SOON_MS } else { RETRY_LATER_MS };
+    let retry_after_ms = if gather.more_expected { RETRY_SOON_MS } else { RETRY_LATER_MS };
     Reply::Short { retry_after_ms }
 }
--- a/crates/core/src/owner/machine/without_store.rs
+++ b/crates/core/src/owner/machine/without_store.rs
@@ -46,10 +46,10 @@
         if gather.free < need {
             return Decision::Answer(Outcome::Reply(away));
         }
-        let most = self.gathers.take(draw, need);
+        let max = self.gathers.take(draw, need);
         let (granted, opened) = (draw.known_granted, draw.opened);
         let reply =
             Reply::Granted { granted, opened, recorded: false, outlook: None, earlier_start: None };
-        Decision::Answer(Outcome::Give { own: None, most, need, reply })
+        Decision::Answer(Outcome::Transfer { own_grant: None, max, need, reply })
     }
 }
--- a/crates/core/src/owner/message.rs
+++ b/crates/core/src/owner/message.rs
@@ -104,7 +104,7 @@
 #[expect(clippy::large_enum_variant, reason = "made once a call and moved twice")]
 pub enum Event {
     /// Somebody asks.
-    Asked(Ticket, Request),
+    Requested(Ticket, Request),
     /// The shard was read; version 0 means that there is none yet.
     Loaded(u64, Shard),
     /// The write succeeded and made this version.
@@ -116,7 +116,7 @@
     /// It is not known whether the write took effect.
     Ambiguous,
     /// The store does not answer; a write did not take effect.
-    StoreAway,
+    StoreUnavailable,
     /// A collection ended.
     Gathered {
         /// The budget collected for.
@@ -124,7 +124,7 @@
         /// What this daemon now has free.
         free: Tokens,
         /// Whether more may come: tokens reserved elsewhere, or silent holders.
-        more_may_come: bool,
+        more_expected: bool,
     },
     /// A time asked for by [`Command::WakeAt`] has come.
     Tick,
@@ -154,16 +154,16 @@
     /// Answer.
     Reply(Ticket, Reply),
     /// Send tokens that this daemon holds, and answer with the grant as well.
-    Give {
+    Transfer {
         /// This daemon's own cumulative grant and what is open of it, when the
         /// write has raised them.
-        own: Option<(Tokens, Tokens)>,
+        own_grant: Option<(Tokens, Tokens)>,
         /// Whom to answer.
         ticket: Ticket,
         /// The draw that is served; `need` is what has to be sent.
         draw: Box<Draw>,
         /// Tokens that would do as well, at most.
-        most: Tokens,
+        max: Tokens,
         /// The answer when they are sent.
         reply: Reply,
     },
--- a/crates/core/src/reqlog.rs
+++ b/crates/core/src/request_log.rs
@@ -23,13 +23,13 @@
 
 /// How long a request is remembered, in milliseconds: a key that comes again
 /// later than this counts as a new request.
-pub const WINDOW_MS: Millis = 10 * 60 * 1000;
+pub const DEDUP_WINDOW_MS: Millis = 10 * 60 * 1000;
 
 /// Most entries of one segment; keeps a segment well below a megabyte.
 pub const MAX_SEGMENT_ENTRIES: usize = 2_000;
 
 /// How long the store is left alone after it was away.
-pub const STORE_PAUSE_MS: Millis = 300;
+pub const STORE_RETRY_DELAY_MS: Millis = 300;
 
 /// Names a caller of the log; chosen by the shell.
 pub type Ticket = u64;
@@ -103,12 +103,12 @@
     }
 
     /// Requests remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_requests(&self) -> usize {
         self.states.len()
     }
 
     /// Entries that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_entries(&self) -> usize {
         self.pending.len()
     }
 
@@ -118,14 +118,14 @@
         let mut commands = Vec::new();
         match event {
             Event::Submitted(ticket, entry) => self.pending.push_back((ticket, entry)),
-            Event::Newest(newest) => self.newest(newest),
+            Event::NewestFound(newest) => self.newest(newest),
             Event::SegmentRead(number, segment) => self.segment_read(now, number, segment),
             Event::Appended => self.appended(now),
             Event::Conflict | Event::Ambiguous => self.append_failed(),
-            Event::StoreAway => {
+            Event::StoreUnavailable => {
                 self.phase = Phase::Ready;
                 self.writing = None;
-                self.store_away_until = now + STORE_PAUSE_MS;
+                self.store_away_until = now + STORE_RETRY_DELAY_MS;
             }
             Event::Tick => {}
         }
@@ -200,7 +200,7 @@
 
     fn forget(&mut self, now: Millis) {
         while let Some((number, at, _)) = self.window.front() {
-            if at.saturating_add(WINDOW_MS) > now {
+            if at.saturating_add(DEDUP_WINDOW_MS) > now {
                 return;
             }
             let number = *number;
--- a/crates/core/src/reqlog/message.rs
+++ b/crates/core/src/request_log/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bill::Bill;
-use crate::reqlog::{LOG_SHARDS, Ticket};
+use crate::request_log::{LOG_SHARDS, Ticket};
 use crate::{AttemptId, Millis, RequestHash};
 
 /// One line of the log.
@@ -82,7 +82,7 @@
     /// Somebody wants an entry appended.
     Submitted(Ticket, Entry),
     /// The newest segment's number, if there is any.
-    Newest(Option<u64>),
+    NewestFound(Option<u64>),
     /// A segment was read; none means that it does not exist.
     SegmentRead(u64, Option<Segment>),
     /// The append took effect.
@@ -92,7 +92,7 @@
     /// It is not known whether the append took effect.
     Ambiguous,
     /// The store does not answer; an append did not take effect.
-    StoreAway,
+    StoreUnavailable,
     /// A time asked for by [`Command::WakeAt`] has come.
     Tick,
 }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -28,12 +28,12 @@
 const QUIET_PART: f64 = 0.25;
 
 /// How many top-ups a ledger remembers by identity.
-pub const REMEMBERED_TOP_UPS: usize = 128;
+pub const MAX_RECORDED_TOP_UPS: usize = 128;
 
 /// How many retired holders a ledger remembers, so that a repeated retirement
 /// counts once. A request older than [`crate::owner::MAX_REQUEST_AGE_MS`] is
 /// dropped, which is long before this many others have retired.
-pub const REMEMBERED_RETIRED: usize = 256;
+pub const MAX_RECORDED_RETIREMENTS: usize = 256;
 
 /// The one of `count` shards that holds this budget.
 pub fn shard_of_budget(budget: &Name, count: u32) -> u32 {
@@ -146,14 +146,14 @@
     }
 
     /// Takes in how fast `holder` spends.
-    pub fn spends_at(&mut self, holder: Incarnation, rate: Tokens) {
+    pub fn set_rate(&mut self, holder: Incarnation, rate: Tokens) {
         if let Some(grant) = self.grants.get_mut(&holder) {
             grant.rate = rate;
         }
     }
 
     /// Takes the row's terms, unless the ledger has seen a newer row.
-    pub fn adopt_row(&mut self, tokens: Tokens, version: u64) {
+    pub fn update_row(&mut self, tokens: Tokens, version: u64) {
         if version > self.row_version {
             self.row_tokens = tokens;
             self.row_version = version;
@@ -178,7 +178,7 @@
     /// Ends the grants of earlier starts of the daemon at `address`: its port is
     /// held for life, so a later start proves that they spend no more. What they
     /// held counts as spent.
-    pub fn end_earlier_starts(&mut self, holder: Incarnation, address: &str) {
+    pub fn retire_earlier_incarnations(&mut self, holder: Incarnation, address: &str) {
         let earlier = |(other, grant): (&Incarnation, &Grant)| {
             let is_earlier = *other != holder && &*grant.address == address;
             is_earlier.then_some((*other, grant.granted as i64 - grant.returned as i64))
@@ -190,14 +190,19 @@
     }
 
     /// A start other than `holder` that the ledger names at `address`.
-    pub fn other_start_at(&self, address: &str, holder: Incarnation) -> Option<Incarnation> {
+    pub fn other_incarnation_at(&self, address: &str, holder: Incarnation) -> Option<Incarnation> {
         let mut others = self.grants.iter().filter(|(other, _)| **other != holder);
         others.find(|(_, grant)| &*grant.address == address).map(|(other, _)| *other)
     }
 
     /// Ends the grant of `earlier`, a start that `holder` says ran before it at `address`.
     /// What it held counts as spent.
-    pub fn end_earlier_start(&mut self, earlier: Incarnation, holder: Incarnation, address: &str) {
+    pub fn retire_earlier_incarnation(
+        &mut self,
+        earlier: Incarnation,
+        holder: Incarnation,
+        address: &str,
+    ) {
         let Some(grant) = self.grants.get(&earlier) else { return };
         if earlier != holder && &*grant.address == address {
             let kept = grant.granted as i64 - grant.returned as i64;
@@ -228,7 +233,7 @@
 
     /// Takes back what `holder` has returned, as a cumulative sum; whether that
     /// is more than was known.
-    pub fn take_back(&mut self, holder: Incarnation, returned: Tokens) -> bool {
+    pub fn record_return(&mut self, holder: Incarnation, returned: Tokens) -> bool {
         let Some(grant) = self.grants.get_mut(&holder) else { return false };
         let is_more = returned > grant.returned;
         grant.returned = grant.returned.max(returned).min(grant.granted);
@@ -236,7 +241,7 @@
     }
 
     /// Records the witnesses that a draw names, unless a later one has.
-    pub fn name_witnesses(&mut self, draw: &Draw) {
+    pub fn record_witnesses(&mut self, draw: &Draw) {
         if let Some(grant) = self.grants.get_mut(&draw.holder)
             && draw.number > grant.named_by
         {
@@ -259,13 +264,13 @@
     }
 
     /// Records a top-up once; a repeat of its identity changes nothing.
-    pub fn top_up(&mut self, id: &str, tokens: Tokens) {
+    pub fn record_top_up(&mut self, id: &str, tokens: Tokens) {
         if self.has_top_up(id) {
             return;
         }
         self.topped_up = self.topped_up.saturating_add(tokens);
         self.top_ups.push(TopUp { id: id.to_owned(), tokens });
-        let surplus = self.top_ups.len().saturating_sub(REMEMBERED_TOP_UPS);
+        let surplus = self.top_ups.len().saturating_sub(MAX_RECORDED_TOP_UPS);
         self.top_ups.drain(..surplus);
     }
 
@@ -289,7 +294,7 @@
         self.grants.remove(&holder);
         self.retired += kept;
         self.retired_holders.push(holder);
-        let surplus = self.retired_holders.len().saturating_sub(REMEMBERED_RETIRED);
+        let surplus = self.retired_holders.len().saturating_sub(MAX_RECORDED_RETIREMENTS);
         self.retired_holders.drain(..surplus);
     }
 }
--- a/crates/core/tests/budget_properties.rs
+++ b/crates/core/tests/budget_properties.rs
@@ -51,12 +51,12 @@
         for step in steps {
             match step {
                 Step::Ask { owner, holder, tokens, used } => {
-                    if let Some(reservation) = world.ask(owner, holder, tokens) {
+                    if let Some(reservation) = world.reserve(owner, holder, tokens) {
                         world.settle(holder, reservation, used);
                     }
                 }
                 Step::Keep { owner, holder, tokens } => {
-                    kept.extend(world.ask(owner, holder, tokens).map(|r| (holder, r)));
+                    kept.extend(world.reserve(owner, holder, tokens).map(|r| (holder, r)));
                 }
                 Step::SettleOldest { used } => {
                     if !kept.is_empty() {
@@ -90,7 +90,7 @@
         let mut world = World::new(DAEMONS as u64, TOKENS);
         for (owner, holder, tokens, used) in asks {
             let left = TOKENS - world.spent();
-            match world.ask(owner, holder, tokens) {
+            match world.reserve(owner, holder, tokens) {
                 Some(reservation) => world.settle(holder, reservation, used),
                 None => prop_assert!(left < tokens, "{left} left, {tokens} refused"),
             }
@@ -104,7 +104,7 @@
     ) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
         for (owner, holder, tokens, used) in asks {
-            if let Some(reservation) = world.ask(owner, holder, tokens) {
+            if let Some(reservation) = world.reserve(owner, holder, tokens) {
                 world.settle(holder, reservation, used);
             }
         }
--- a/crates/core/tests/common/direct.rs
+++ b/crates/core/tests/common/direct.rs
@@ -12,11 +12,11 @@
 
 /// What becomes of the next call of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    Done,
-    DoneAndLost,
-    LostAndNotDone,
-    Away,
+pub enum StoreFault {
+    None,
+    ReplyLost,
+    RequestLost,
+    Unavailable,
 }
 
 /// One daemon, and the requests that it has open.
@@ -69,11 +69,11 @@
         Daemon { owner, holder: Holder::new(incarnation), open: Vec::new(), busy_until: 0 }
     }
 
-    /// Asks daemon `n` as the owner; `fate` is that of the first write.
-    pub fn ask(&mut self, n: usize, request: Request, fate: Fate) -> Reply {
+    /// Asks daemon `n` as the owner; `fault` is that of the first write.
+    pub fn ask(&mut self, n: usize, request: Request, fault: StoreFault) -> Reply {
         let mut at = self.now.max(self.daemons[n].busy_until);
-        let mut commands = self.daemons[n].owner.handle(at, Event::Asked(1, request));
-        let mut fate = Some(fate);
+        let mut commands = self.daemons[n].owner.handle(at, Event::Requested(1, request));
+        let mut fault = Some(fault);
         for _ in 0..TRIES {
             let Some(command) = commands.pop() else { break };
             let event = match command {
@@ -82,9 +82,9 @@
                     self.now = if self.calls_take_time { at } else { self.now };
                     return reply;
                 }
-                Command::Load if fate == Some(Fate::Away) => Event::StoreAway,
+                Command::Load if fault == Some(StoreFault::Unavailable) => Event::StoreUnavailable,
                 Command::Load => Event::Loaded(self.stored.0, self.stored.1.clone()),
-                Command::Write(version, shard) => self.write(version, shard, fate.take()),
+                Command::Write(version, shard) => self.write(version, shard, fault.take()),
                 Command::WakeAt(wake_at) => {
                     at = at.max(wake_at);
                     Event::Tick
@@ -97,29 +97,33 @@
         panic!("no answer");
     }
 
-    fn write(&mut self, version: u64, shard: Shard, fate: Option<Fate>) -> Event {
-        match fate.unwrap_or(Fate::Done) {
-            Fate::Away => return Event::StoreAway,
-            Fate::LostAndNotDone => return Event::Ambiguous,
-            Fate::Done | Fate::DoneAndLost => {}
+    fn write(&mut self, version: u64, shard: Shard, fault: Option<StoreFault>) -> Event {
+        match fault.unwrap_or(StoreFault::None) {
+            StoreFault::Unavailable => return Event::StoreUnavailable,
+            StoreFault::RequestLost => return Event::Ambiguous,
+            StoreFault::None | StoreFault::ReplyLost => {}
         }
         if version != self.stored.0 {
             return Event::Superseded(self.stored.0, self.stored.1.clone());
         }
         self.stored = (version + 1, shard);
-        if fate == Some(Fate::DoneAndLost) { Event::Ambiguous } else { Event::Written(version + 1) }
+        if fault == Some(StoreFault::ReplyLost) {
+            Event::Ambiguous
+        } else {
+            Event::Written(version + 1)
+        }
     }
 
     /// Daemon `n` draws what lets it reserve `need` more.
-    pub fn draw(&mut self, n: usize, need: Tokens, fate: Fate) {
-        self.draw_by(n, n, need, fate);
+    pub fn draw(&mut self, n: usize, need: Tokens, fault: StoreFault) {
+        self.draw_by(n, n, need, fault);
     }
 
     /// Daemon `n` draws by way of daemon `owner`; returns the draw.
-    pub fn draw_by(&mut self, n: usize, owner: usize, need: Tokens, fate: Fate) -> Draw {
+    pub fn draw_by(&mut self, n: usize, owner: usize, need: Tokens, fault: StoreFault) -> Draw {
         let holder = &mut self.daemons[n].holder;
         let draw = holder.draw(&budget(), need, self.terms, &address(n), self.now);
-        let reply = self.ask(owner, Request::Draw(draw.clone()), fate);
+        let reply = self.ask(owner, Request::Draw(draw.clone()), fault);
         let holder = &mut self.daemons[n].holder;
         if let Reply::Granted { granted, opened, outlook, earlier_start, .. } = reply {
             outlook.into_iter().for_each(|outlook| holder.known(&budget(), outlook, self.now));
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -14,7 +14,7 @@
 pub const BUDGET: &str = "main";
 
 /// Longest run of one question, in simulated milliseconds.
-const PATIENCE_MS: Millis = 60_000;
+const REQUEST_TIMEOUT_MS: Millis = 60_000;
 
 pub fn budget() -> Name {
     Name::from(BUDGET)
@@ -136,7 +136,7 @@
     }
 
     /// Reserves at `holder`, drawing by way of `owner` when it is short.
-    pub fn ask(&mut self, owner: usize, holder: usize, tokens: Tokens) -> Option<Reservation> {
+    pub fn reserve(&mut self, owner: usize, holder: usize, tokens: Tokens) -> Option<Reservation> {
         for _ in 0..100 {
             match self.holders[holder].reserve(&budget(), tokens, self.now) {
                 Ok(reservation) => return Some(reservation),
@@ -184,8 +184,8 @@
     }
 
     fn run(&mut self, owner: usize, request: Request) -> Answer {
-        let mut events = VecDeque::from([Event::Asked(1, request.clone())]);
-        let deadline = self.now + PATIENCE_MS;
+        let mut events = VecDeque::from([Event::Requested(1, request.clone())]);
+        let deadline = self.now + REQUEST_TIMEOUT_MS;
         while let Some(event) = events.pop_front() {
             assert!(self.now < deadline, "no answer in a minute");
             let commands = self.owners[owner].handle(self.now, event);
@@ -197,12 +197,12 @@
                         events.push_back(self.gather(owner, budget, &holders));
                     }
                     Command::Reply(_, reply) => return self.take_reply(&request, reply),
-                    Command::Give { own, draw, most, reply, .. } => {
-                        if let Some((granted, opened)) = own {
+                    Command::Transfer { own_grant, draw, max, reply, .. } => {
+                        if let Some((granted, opened)) = own_grant {
                             self.holders[owner].granted(&budget(), granted);
                             self.holders[owner].opened(&budget(), opened);
                         }
-                        return self.give(owner, &draw, most, reply);
+                        return self.give(owner, &draw, max, reply);
                     }
                     Command::WakeAt(at) => {
                         self.now = self.now.max(at);
@@ -216,14 +216,14 @@
 
     fn load(&self) -> Event {
         if self.store_away {
-            return Event::StoreAway;
+            return Event::StoreUnavailable;
         }
         Event::Loaded(self.stored.0, self.stored.1.clone())
     }
 
     fn write(&mut self, version: u64, shard: Shard) -> Event {
         if self.store_away {
-            return Event::StoreAway;
+            return Event::StoreUnavailable;
         }
         if version != self.stored.0 {
             return Event::Conflict;
@@ -251,7 +251,7 @@
             self.holders[owner].received(&budget, sender, sent);
         }
         let free = self.holders[owner].free(&budget);
-        Event::Gathered { budget, free, more_may_come: false }
+        Event::Gathered { budget, free, more_expected: false }
     }
 
     fn give(&mut self, owner: usize, draw: &Draw, most: Tokens, reply: Reply) -> Answer {
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -7,7 +7,7 @@
 use bankcove_core::holder::{LEFT_PER_HELD, Reservation};
 use bankcove_core::owner::Request;
 use common::budget;
-use common::direct::{Fate, World as Fleet};
+use common::direct::{StoreFault, World as Fleet};
 use proptest::prelude::*;
 
 const TOTAL: Tokens = 10_000;
@@ -15,11 +15,11 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Serve(usize, Tokens, Tokens, Fate),
-    DrawAhead(usize, Fate),
-    GiveBack(usize, Fate),
+    Serve(usize, Tokens, Tokens, StoreFault),
+    DrawAhead(usize, StoreFault),
+    GiveBack(usize, StoreFault),
     Kill(usize),
-    Retire(usize, Fate),
+    Retire(usize, StoreFault),
 }
 
 /// A fleet, and what its callers were handed.
@@ -35,11 +35,11 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Serve(n, tokens, used, fate) => {
+            Step::Serve(n, tokens, used, fault) => {
                 let now = self.fleet.now;
                 let daemon = &mut self.fleet.daemons[n];
                 if let Err(short) = daemon.holder.reserve(&budget(), tokens, now) {
-                    self.fleet.draw(n, short.missing, fate);
+                    self.fleet.draw(n, short.missing, fault);
                     let now = self.fleet.now;
                     let daemon = &mut self.fleet.daemons[n];
                     let again = daemon.holder.reserve(&budget(), tokens, now);
@@ -52,19 +52,19 @@
                     daemon.holder.settle(reservation, used);
                 }
             }
-            Step::DrawAhead(n, fate) => self.fleet.draw(n, 0, fate),
-            Step::GiveBack(n, fate) => {
+            Step::DrawAhead(n, fault) => self.fleet.draw(n, 0, fault),
+            Step::GiveBack(n, fault) => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
                 self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
-                self.fleet.draw(n, 0, fate);
+                self.fleet.draw(n, 0, fault);
             }
             Step::Kill(n) => {
                 // What was open may have been handed out as a whole.
                 let open = self.fleet.restart(n);
                 self.handed_out += open.iter().map(Reservation::tokens).sum::<Tokens>();
             }
-            Step::Retire(n, fate) => {
+            Step::Retire(n, fault) => {
                 let daemon = &mut self.fleet.daemons[n];
                 for reservation in std::mem::take(&mut daemon.open) {
                     let tokens = reservation.tokens();
@@ -73,7 +73,7 @@
                 }
                 let holder = daemon.holder.incarnation();
                 let kept = daemon.holder.retire(&budget());
-                self.fleet.ask(n, Request::Retire { budget: budget(), holder, kept }, fate);
+                self.fleet.ask(n, Request::Retire { budget: budget(), holder, kept }, fault);
                 self.fleet.restart(n);
             }
         }
@@ -85,24 +85,24 @@
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fault() -> impl Strategy<Value = StoreFault> {
     prop_oneof![
-        6 => Just(Fate::Done),
-        1 => Just(Fate::DoneAndLost),
-        1 => Just(Fate::LostAndNotDone),
-        1 => Just(Fate::Away),
+        6 => Just(StoreFault::None),
+        1 => Just(StoreFault::ReplyLost),
+        1 => Just(StoreFault::RequestLost),
+        1 => Just(StoreFault::Unavailable),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let n = || 0..DAEMONS;
     prop_oneof![
-        8 => (n(), 1..1_500_u64, 1..1_500_u64, fate())
-            .prop_map(|(n, tokens, used, fate)| Step::Serve(n, tokens, used, fate)),
-        2 => (n(), fate()).prop_map(|(n, fate)| Step::DrawAhead(n, fate)),
-        2 => (n(), fate()).prop_map(|(n, fate)| Step::GiveBack(n, fate)),
+        8 => (n(), 1..1_500_u64, 1..1_500_u64, fault())
+            .prop_map(|(n, tokens, used, fault)| Step::Serve(n, tokens, used, fault)),
+        2 => (n(), fault()).prop_map(|(n, fault)| Step::DrawAhead(n, fault)),
+        2 => (n(), fault()).prop_map(|(n, fault)| Step::GiveBack(n, fault)),
         1 => n().prop_map(Step::Kill),
-        1 => (n(), fate()).prop_map(|(n, fate)| Step::Retire(n, fate)),
+        1 => (n(), fault()).prop_map(|(n, fault)| Step::Retire(n, fault)),
     ]
 }
 
@@ -124,9 +124,9 @@
 #[test]
 fn what_is_held_too_much_goes_back_to_the_store() {
     let mut world = World::new();
-    world.fleet.draw(0, 4_000, Fate::Done);
+    world.fleet.draw(0, 4_000, StoreFault::None);
     let before = world.fleet.ledger().available();
-    world.step(Step::GiveBack(0, Fate::Done));
+    world.step(Step::GiveBack(0, StoreFault::None));
     let ledger = world.fleet.ledger();
     assert!(ledger.available() > before, "{ledger:?}");
     assert_eq!(ledger.available() as i64 + ledger.committed(), TOTAL as i64);
@@ -135,10 +135,10 @@
 #[test]
 fn a_give_back_whose_answer_was_lost_counts_once() {
     let mut world = World::new();
-    world.fleet.draw(0, 4_000, Fate::Done);
-    world.step(Step::GiveBack(0, Fate::DoneAndLost));
+    world.fleet.draw(0, 4_000, StoreFault::None);
+    world.step(Step::GiveBack(0, StoreFault::ReplyLost));
     let after = world.fleet.ledger().available();
-    world.fleet.draw(0, 0, Fate::Done);
+    world.fleet.draw(0, 0, StoreFault::None);
     assert!(world.fleet.ledger().available() <= after);
     assert_eq!(world.fleet.ledger().committed() + after as i64, TOTAL as i64);
 }
@@ -148,9 +148,9 @@
     let mut world = World::new();
     for round in 0..200 {
         world.fleet.now += 100;
-        world.step(Step::Serve(round % DAEMONS, 30, 30, Fate::Done));
-        world.step(Step::DrawAhead(round % DAEMONS, Fate::Done));
-        world.step(Step::GiveBack(round % DAEMONS, Fate::Done));
+        world.step(Step::Serve(round % DAEMONS, 30, 30, StoreFault::None));
+        world.step(Step::DrawAhead(round % DAEMONS, StoreFault::None));
+        world.step(Step::GiveBack(round % DAEMONS, StoreFault::None));
     }
     let free: Tokens = world.fleet.daemons.iter().map(|daemon| daemon.holder.free(&budget())).sum();
     let left = world.fleet.ledger().available();
@@ -161,11 +161,11 @@
 #[test]
 fn a_later_start_ends_the_grants_of_earlier_ones_as_spent() {
     let mut world = World::new();
-    world.fleet.draw(0, 1_000, Fate::Done);
-    world.fleet.draw(1, 1_000, Fate::Done);
+    world.fleet.draw(0, 1_000, StoreFault::None);
+    world.fleet.draw(1, 1_000, StoreFault::None);
     let committed = world.fleet.ledger().committed();
     world.step(Step::Kill(0));
-    world.fleet.draw(0, 100, Fate::Done);
+    world.fleet.draw(0, 100, StoreFault::None);
     let ledger = world.fleet.ledger();
     assert_eq!(ledger.grants.len(), 2);
     assert!(ledger.committed() >= committed + 100, "{ledger:?}");
--- a/crates/core/tests/owners_draws.rs
+++ b/crates/core/tests/forwarded_draws.rs
@@ -7,7 +7,7 @@
 use bankcove_core::holder::{Draw, Keeps, Reservation, Terms};
 use bankcove_core::owner::Request;
 use common::budget;
-use common::direct::{Fate, World as Fleet};
+use common::direct::{StoreFault, World as Fleet};
 use proptest::prelude::*;
 
 const TOTAL: Tokens = 10_000;
@@ -15,7 +15,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Draw { n: usize, owner: usize, need: Tokens, fate: Fate },
+    Draw { n: usize, owner: usize, need: Tokens, fault: StoreFault },
     Reserve { n: usize, tokens: Tokens },
     Settle { n: usize, used: Tokens },
     GiveBack { n: usize, owner: usize },
@@ -35,14 +35,14 @@
         World { fleet: Fleet::new(terms), gone: 0, draws: Vec::new() }
     }
 
-    fn draw(&mut self, n: usize, owner: usize, need: Tokens, fate: Fate) {
-        let draw = self.fleet.draw_by(n, owner, need, fate);
+    fn draw(&mut self, n: usize, owner: usize, need: Tokens, fault: StoreFault) {
+        let draw = self.fleet.draw_by(n, owner, need, fault);
         self.draws.push(draw);
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Draw { n, owner, need, fate } => self.draw(n, owner, need, fate),
+            Step::Draw { n, owner, need, fault } => self.draw(n, owner, need, fault),
             Step::Reserve { n, tokens } => {
                 let now = self.fleet.now;
                 let daemon = &mut self.fleet.daemons[n];
@@ -60,7 +60,7 @@
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
                 self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
-                self.draw(n, owner, 0, Fate::Done);
+                self.draw(n, owner, 0, StoreFault::None);
             }
             Step::Kill { n } => {
                 let open = self.fleet.restart(n);
@@ -69,7 +69,7 @@
             Step::RepeatOldDraw { which, owner } => {
                 // It comes late, perhaps of a start that is gone; nobody hears the answer.
                 if let Some(draw) = self.draws.get(which % self.draws.len().max(1)).cloned() {
-                    let _unheard = self.fleet.ask(owner, Request::Draw(draw), Fate::Done);
+                    let _unheard = self.fleet.ask(owner, Request::Draw(draw), StoreFault::None);
                 }
             }
         }
@@ -85,15 +85,15 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let n = || 0..DAEMONS;
-    let fate = prop_oneof![
-        4 => Just(Fate::Done),
-        1 => Just(Fate::DoneAndLost),
-        1 => Just(Fate::LostAndNotDone),
-        1 => Just(Fate::Away),
+    let fault = prop_oneof![
+        4 => Just(StoreFault::None),
+        1 => Just(StoreFault::ReplyLost),
+        1 => Just(StoreFault::RequestLost),
+        1 => Just(StoreFault::Unavailable),
     ];
     prop_oneof![
-        6 => (n(), n(), 0..2_000_u64, fate)
-            .prop_map(|(n, owner, need, fate)| Step::Draw { n, owner, need, fate }),
+        6 => (n(), n(), 0..2_000_u64, fault)
+            .prop_map(|(n, owner, need, fault)| Step::Draw { n, owner, need, fault }),
         6 => (n(), 1..900_u64).prop_map(|(n, tokens)| Step::Reserve { n, tokens }),
         4 => (n(), 0..900_u64).prop_map(|(n, used)| Step::Settle { n, used }),
         2 => (n(), n()).prop_map(|(n, owner)| Step::GiveBack { n, owner }),
@@ -118,22 +118,22 @@
 fn a_start_that_is_gone_leaves_the_ledger_by_the_word_of_the_next() {
     let mut world = World::new();
     for _ in 0..5 {
-        world.draw(1, 0, 100, Fate::Done);
-        world.draw(1, 0, 100, Fate::Done);
+        world.draw(1, 0, 100, StoreFault::None);
+        world.draw(1, 0, 100, StoreFault::None);
         world.fleet.restart(1);
     }
-    world.draw(1, 0, 100, Fate::Done);
-    world.draw(1, 0, 100, Fate::Done);
+    world.draw(1, 0, 100, StoreFault::None);
+    world.draw(1, 0, 100, StoreFault::None);
     assert_eq!(world.fleet.ledger().grants.len(), 1);
 }
 
 #[test]
 fn a_late_draw_of_an_earlier_start_ends_no_later_one() {
     let mut world = World::new();
-    world.draw(1, 0, 100, Fate::Done);
+    world.draw(1, 0, 100, StoreFault::None);
     world.fleet.restart(1);
-    world.draw(1, 0, 100, Fate::Done);
-    world.draw(1, 0, 100, Fate::Done);
+    world.draw(1, 0, 100, StoreFault::None);
+    world.draw(1, 0, 100, StoreFault::None);
     let now = world.fleet.daemons[1].holder.incarnation();
     world.step(Step::RepeatOldDraw { which: 0, owner: 0 });
     assert!(world.fleet.ledger().grants.contains_key(&now));
@@ -143,7 +143,7 @@
 fn who_keeps_for_the_fleet_may_keep_what_all_may() {
     let mut world = World::new();
     for n in 0..DAEMONS {
-        world.draw(n, 0, 10, Fate::Done);
+        world.draw(n, 0, 10, StoreFault::None);
     }
     let ledger = world.fleet.ledger();
     let me = world.fleet.daemons[0].holder.incarnation();
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -21,7 +21,7 @@
 use bankcove_core::holder::{Reservation, Terms};
 use bankcove_core::{Millis, Tokens};
 use common::budget;
-use common::direct::{Fate, World};
+use common::direct::{StoreFault, World};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -138,7 +138,7 @@
             let holder = &mut self.world.daemons[n].holder;
             let returned = holder.return_surplus(&budget(), &terms, now);
             if returned > 0 || holder.runs_low(&budget(), &terms, now) {
-                self.world.draw(n, 0, Fate::Done);
+                self.world.draw(n, 0, StoreFault::None);
             }
         }
     }
@@ -177,7 +177,7 @@
             Ok(reservation) => return Some(reservation),
             Err(short) => short,
         };
-        self.world.draw(n, short.missing, Fate::Done);
+        self.world.draw(n, short.missing, StoreFault::None);
         let now = self.world.now;
         self.world.daemons[n].holder.reserve(&budget(), tokens, now).ok()
     }
--- a/crates/core/tests/request_log.rs
+++ b/crates/core/tests/request_log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use bankcove_core::bill::Bill;
-use bankcove_core::reqlog::{Command, Entry, Event, Outcome, RequestLog, Segment};
+use bankcove_core::request_log::{Command, Entry, Event, Outcome, RequestLog, Segment};
 use bankcove_core::{AttemptId, Incarnation, Name, RequestHash};
 use proptest::prelude::*;
 
@@ -71,8 +71,8 @@
     fn step(&mut self, appender: usize) {
         let Some(command) = self.todo[appender].pop() else { return };
         let event = match command {
-            _ if self.away && !matches!(command, Command::WakeAt(_)) => Event::StoreAway,
-            Command::FindNewest => Event::Newest(self.stored.keys().last().copied()),
+            _ if self.away && !matches!(command, Command::WakeAt(_)) => Event::StoreUnavailable,
+            Command::FindNewest => Event::NewestFound(self.stored.keys().last().copied()),
             Command::Read(number) => Event::SegmentRead(number, self.stored.get(&number).cloned()),
             Command::Append(number, segment) => self.append(number, segment),
             Command::WakeAt(at) => {
--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -5,7 +5,7 @@
 
 use bankcove_core::holder::Wish;
 use bankcove_core::lifecycle::{Admitted, Attempt, NotRun, Received};
-use bankcove_core::reqlog::{Entry, Outcome};
+use bankcove_core::request_log::{Entry, Outcome};
 use bankcove_core::table::{Budget, Table, Workspace};
 use bankcove_core::{Name, RequestHash, Tokens};
 use salvo::prelude::*;
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -5,7 +5,7 @@
 
 use bankcove_core::crashes::{Place, Verdict};
 use bankcove_core::lifecycle::{Admitted, Attempt, Dispatched, NotRun};
-use bankcove_core::reqlog::Entry;
+use bankcove_core::request_log::Entry;
 use bankcove_core::router::{Choice, Homes, NoServer, Wanted};
 use bankcove_core::table::ServerKind;
 use bankcove_core::{Fingerprint, Millis, Name, RequestHash};
--- a/crates/daemon/src/base/config.rs
+++ b/crates/daemon/src/base/config.rs
@@ -7,7 +7,7 @@
 
 use bankcove_core::Name;
 use bankcove_core::owner::WRITE_INTERVAL_MS;
-use bankcove_core::reqlog::APPEND_INTERVAL_MS;
+use bankcove_core::request_log::APPEND_INTERVAL_MS;
 use bankcove_core::shard::BUDGET_SHARDS;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use bankcove_core::reqlog::Entry;
+use bankcove_core::request_log::Entry;
 use bankcove_ports::Store;
 use parking_lot::Mutex;
 
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::bill::Bill;
-use bankcove_core::reqlog::{Entry, Outcome};
+use bankcove_core::request_log::{Entry, Outcome};
 
 use crate::bill::billing::Billing;
 use crate::bill::request_log;
--- a/crates/daemon/src/bill/log_tasks.rs
+++ b/crates/daemon/src/bill/log_tasks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use bankcove_core::reqlog::{Entry, Event, Outcome};
+use bankcove_core::request_log::{Entry, Event, Outcome};
 use parking_lot::Mutex;
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::Millis;
-use bankcove_core::reqlog::{Command, Entry, Event, Outcome, RequestLog, Segment};
+use bankcove_core::request_log::{Command, Entry, Event, Outcome, RequestLog, Segment};
 use bankcove_ports::{Kind, WriteOutcome, segment_name};
 use tokio::sync::{mpsc, oneshot};
 
@@ -84,8 +84,8 @@
                 Mail::Submitted(entry, reply) => Event::Submitted(self.tickets.add(reply), entry),
                 Mail::Dump(reply) => {
                     let dump = LogDump {
-                        remembered: machine.remembered(),
-                        waiting: machine.waiting(),
+                        remembered: machine.tracked_requests(),
+                        waiting: machine.pending_entries(),
                         appends: machine.appends(),
                         reads: machine.reads(),
                     };
@@ -134,7 +134,7 @@
 
 async fn find_newest(billing: Arc<Billing>, shard: u32) -> Event {
     match billing.store.last_name(Kind::RequestLog(shard)).await {
-        Ok(name) => Event::Newest(name.and_then(|name| name.parse().ok())),
+        Ok(name) => Event::NewestFound(name.and_then(|name| name.parse().ok())),
         Err(e) => away(&billing, shard, &e),
     }
 }
@@ -153,11 +153,11 @@
         WriteOutcome::Written(_) => Event::Appended,
         WriteOutcome::Conflict(_) => Event::Conflict,
         WriteOutcome::Ambiguous => Event::Ambiguous,
-        WriteOutcome::NotSent => Event::StoreAway,
+        WriteOutcome::NotSent => Event::StoreUnavailable,
     }
 }
 
 fn away(billing: &Billing, shard: u32, e: &bankcove_ports::Error) -> Event {
     slog::warn!(billing.fleet.base.log, "log shard not read"; "shard" => shard, "error" => %e);
-    Event::StoreAway
+    Event::StoreUnavailable
 }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -97,8 +97,8 @@
         "budget" => %budget, "free" => free, "holders" => holders.len(),
         "asked" => answers.len(), "peers" => budgets.fleet.members.lock().usable().count(),
         "took_ms" => budgets.fleet.base.clock.now().saturating_sub(now));
-    let more_may_come = skipped || more_elsewhere || reserved > 0;
-    Event::Gathered { free, budget, more_may_come }
+    let more_expected = skipped || more_elsewhere || reserved > 0;
+    Event::Gathered { free, budget, more_expected }
 }
 
 /// Adds those that may hold tokens without a grant: whom this daemon has sent
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::holder::Draw;
-use bankcove_core::owner::{AHEAD_WAIT_MS, Reply, Request};
+use bankcove_core::owner::{PREFETCH_DELAY_MS, Reply, Request};
 use bankcove_core::table::Budget;
 use bankcove_core::{Millis, Name, Tokens};
 use futures::future::join_all;
@@ -116,7 +116,7 @@
 fn owner_timeout(budgets: &Budgets, request: &Request) -> Duration {
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     match request {
-        Request::Draw(draw) if draw.need == 0 => timeout + Duration::from_millis(AHEAD_WAIT_MS),
+        Request::Draw(draw) if draw.need == 0 => timeout + Duration::from_millis(PREFETCH_DELAY_MS),
         _ => timeout,
     }
 }
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -76,7 +76,11 @@
             let event = match mail {
                 Mail::Event(event) => event,
                 Mail::Asked(request, reply) => {
-                    machine.ask(budgets.fleet.base.clock.now(), self.tickets.add(reply), request);
+                    machine.enqueue(
+                        budgets.fleet.base.clock.now(),
+                        self.tickets.add(reply),
+                        request,
+                    );
                     if !rx.is_empty() {
                         // What waits already is served by the same write.
                         continue;
@@ -99,7 +103,7 @@
 
     /// Tells this daemon's holder what any read or write of the shard shows.
     fn tell_holder(&mut self, budgets: &Budgets, machine: &Owner) {
-        let Some((version, shard)) = machine.stored() else { return };
+        let Some((version, shard)) = machine.versioned_shard() else { return };
         if budgets.fleet.base.cfg.limits.witnesses > 0 || self.told == Some(version) {
             return;
         }
@@ -121,13 +125,13 @@
                 Command::Reply(ticket, reply) => {
                     self.tickets.answer(ticket, OwnerAnswer { reply, sent: None });
                 }
-                Command::Give { own, ticket, draw, most, reply } => {
-                    if let Some((granted, opened)) = own {
+                Command::Transfer { own_grant, ticket, draw, max, reply } => {
+                    if let Some((granted, opened)) = own_grant {
                         let mut holder = budgets.holder();
                         holder.granted(&draw.budget, granted);
                         holder.opened(&draw.budget, opened);
                     }
-                    let answer = give(budgets, &draw, most, reply);
+                    let answer = give(budgets, &draw, max, reply);
                     self.tickets.answer(ticket, answer);
                 }
                 Command::WakeAt(at) => {
@@ -155,7 +159,7 @@
         }
         let mut ledger = ledger.clone();
         // The next draw writes it; until then nobody is refused what was topped up.
-        ledger.adopt_row(row.tokens, row.version);
+        ledger.update_row(row.tokens, row.version);
         let terms = terms(budgets, row);
         let outlook = ledger.outlook(budgets.fleet.base.incarnation, &terms);
         budgets.holder().known(budget, outlook, now);
@@ -176,12 +180,12 @@
 
 /// Whether the store answers now: one read of it, unless it is known to be away.
 pub async fn store_answers(budgets: &Arc<Budgets>) -> bool {
-    !matches!(load(Arc::clone(budgets), FIRST_SHARD).await, Event::StoreAway)
+    !matches!(load(Arc::clone(budgets), FIRST_SHARD).await, Event::StoreUnavailable)
 }
 
 async fn load(budgets: Arc<Budgets>, shard: u32) -> Event {
     if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
-        return Event::StoreAway;
+        return Event::StoreUnavailable;
     }
     match budgets.store.read::<Shard>(Kind::Budgets, &shard_name(shard)).await {
         Ok(Some(read)) => {
@@ -192,14 +196,14 @@
         Err(e) => {
             budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
             slog::warn!(budgets.fleet.base.log, "budget shard not read"; "shard" => shard, "error" => %e);
-            Event::StoreAway
+            Event::StoreUnavailable
         }
     }
 }
 
 async fn write(budgets: Arc<Budgets>, shard: u32, version: u64, value: Shard) -> Event {
     if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
-        return Event::StoreAway;
+        return Event::StoreUnavailable;
     }
     let outcome = budgets.store.write(Kind::Budgets, &shard_name(shard), version, &value).await;
     match outcome {
@@ -209,7 +213,7 @@
         WriteOutcome::Ambiguous => Event::Ambiguous,
         WriteOutcome::NotSent => {
             budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
-            Event::StoreAway
+            Event::StoreUnavailable
         }
     }
 }
--- a/crates/daemon/src/budget/statement.rs
+++ b/crates/daemon/src/budget/statement.rs
@@ -58,7 +58,7 @@
     let object = format!("shard-{:02}", shard_of_budget(&row.name, shards));
     let shard = budgets.store.read::<Shard>(Kind::Budgets, &object).await?;
     let mut ledger = shard.map(|read| read.value).unwrap_or_default().ledger(&row.name).clone();
-    ledger.adopt_row(row.tokens, row.version);
+    ledger.update_row(row.tokens, row.version);
     Ok(ledger)
 }
 
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -7,7 +7,7 @@
 use bankcove_core::limits::{Issued, LimitFact, Wish};
 use bankcove_core::members::{Heartbeat, Host};
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
-use bankcove_core::reqlog::{Entry, Outcome};
+use bankcove_core::request_log::{Entry, Outcome};
 use bankcove_core::router::UnreadNews;
 use bankcove_core::server_list::{ListNews, ListVersion};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use bankcove_core::limits::{LimitFact, Wish};
 use bankcove_core::members::Heartbeat;
 use bankcove_core::owner::Request;
-use bankcove_core::reqlog::{Entry, Outcome};
+use bankcove_core::request_log::{Entry, Outcome};
 use bankcove_core::router::UnreadNews;
 use bankcove_core::server_list::{ListNews, ListVersion};
 use bankcove_core::{Incarnation, Name, Tokens};
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use bankcove_core::bill::Bill;
-use bankcove_core::reqlog::{Entry, Segment};
+use bankcove_core::request_log::{Entry, Segment};
 use bankcove_core::shard::Shard;
 use bankcove_standins::engine::{RunRecord, token_text};
 use bankcove_standins::service::CallRecord;
--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bankcove_core::members::Host;
-use bankcove_core::reqlog::Segment;
+use bankcove_core::request_log::Segment;
 use bankcove_core::shard::Shard;
 use bankcove_standins::engine::RunRecord;
 use bankcove_standins::faults::Faults;
--- a/crates/proofs/tests/checkers.rs
+++ b/crates/proofs/tests/checkers.rs
@@ -1,7 +1,7 @@
 //! Each checker fails on a history that breaks its promise.
 
 use bankcove_core::bill::Bill;
-use bankcove_core::reqlog::{Entry, Segment};
+use bankcove_core::request_log::{Entry, Segment};
 use bankcove_core::shard::Shard;
 use bankcove_core::{AttemptId, Incarnation, Name, RequestHash};
 use bankcove_proofs::caller::{Attempt, Told};
@@ -56,7 +56,7 @@
 fn a_grant_beyond_the_budget_is_found() {
     let mut shard = Shard::default();
     let ledger = shard.ledger(&Name::from("main"));
-    ledger.adopt_row(100, 1);
+    ledger.update_row(100, 1);
     ledger.grant(Incarnation(1), "127.0.0.1:1", 100);
     assert!(check::grants_within(std::slice::from_ref(&shard)).is_ok());
     shard.ledger(&Name::from("main")).grant(Incarnation(2), "127.0.0.1:2", 1);
