--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -13,7 +13,8 @@
 use bankcove_core::hints::{HintFact, LeavingStarts};
 use bankcove_core::holder::{Draw, Holder, Keeps, Terms};
 use bankcove_core::limits::{
-    ISSUERS_PER_SERVER, Issuer, IssuerRank, LimitHeader, LimitTracker, PermitRequest, RequestRate,
+    ISSUERS_PER_SERVER, Issuer, IssuerPosition, LimitHeader, LimitTracker, PermitRequest,
+    RequestRate,
 };
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
 use bankcove_core::owner::{Event as OwnerEvent, Owner, Request};
@@ -346,7 +347,7 @@
         for now in 0..ROUNDS {
             std::hint::black_box(members.owners_listed(server.key(), ISSUERS_PER_SERVER));
             let wish = PermitRequest { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
-            let place = IssuerRank { rank: 0, since: 0 };
+            let place = IssuerPosition { rank: 0, since: 0 };
             std::hint::black_box(issuer.issue(10_000 + now, &server, limit, place, wish));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
--- a/crates/bench/src/limit_world/fleet.rs
+++ b/crates/bench/src/limit_world/fleet.rs
@@ -6,7 +6,7 @@
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::id::rendezvous_score;
 use bankcove_core::limits::{
-    ISSUERS_PER_SERVER, Issuer, IssuerRank, Leases, LimitTracker, RetrySchedule,
+    ISSUERS_PER_SERVER, Issuer, IssuerPosition, Leases, LimitTracker, RetrySchedule,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -98,11 +98,11 @@
         server: &ServerStart,
         now: Millis,
         started: Millis,
-    ) -> IssuerRank {
+    ) -> IssuerPosition {
         let rank = self.issuers(at, server, now).iter().position(|issuer| *issuer == at);
         let ends = self.away.iter().flatten().flat_map(|(from, until)| [*from, *until]);
         let seen = ends.map(|end| end + self.lags[at]).filter(|seen| *seen <= now);
         let since = seen.max().unwrap_or_default().max(started);
-        IssuerRank { rank: rank.unwrap_or(usize::MAX), since }
+        IssuerPosition { rank: rank.unwrap_or(usize::MAX), since }
     }
 }
--- a/crates/bench/src/limit_world/told.rs
+++ b/crates/bench/src/limit_world/told.rs
@@ -76,7 +76,7 @@
         // What waits to be told gets older; what is under way does not.
         let waited = GATHER_MS.min(self.now - sent_at);
         for fact in &mut facts {
-            fact.asked_age_ms += waited;
+            fact.request_age_ms += waited;
             fact.received_age_ms += waited;
         }
         self.take_facts(to, &facts);
--- a/crates/core/src/hints.rs
+++ b/crates/core/src/hints.rs
@@ -55,7 +55,7 @@
     pub fn aged(mut self, by_ms: Millis) -> Self {
         match &mut self {
             HintFact::Limit(fact) => {
-                fact.asked_age_ms += by_ms;
+                fact.request_age_ms += by_ms;
                 fact.received_age_ms += by_ms;
             }
             HintFact::Leaving(fact) => fact.age_ms += by_ms,
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,8 +1,9 @@
-//! Limits that backend servers name: so many requests a second from all daemons together.
+//! Request rate limits that backend servers announce, in requests per second from the whole
+//! fleet of daemons.
 //!
-//! `word` reads them, `book` knows those in force, `issuer` hands out permits for the whole
-//! fleet, `leases` keeps what one daemon has of them, and `returns` tells callers when to come
-//! back.
+//! `header` parses them, `tracker` holds those in force, `issuer` issues permits for the whole
+//! fleet, `leases` holds the permits of one daemon, and `retry_schedule` computes retry delays
+//! for callers.
 
 mod header;
 mod issuer;
@@ -11,7 +12,7 @@
 mod tracker;
 
 pub use header::{LimitHeader, RequestRate};
-pub use issuer::{ISSUERS_PER_SERVER, Issued, Issuer, IssuerRank, PermitRequest};
+pub use issuer::{ISSUERS_PER_SERVER, Issued, Issuer, IssuerPosition, PermitRequest};
 pub use leases::{Leases, PERMIT_LIFETIME_MS};
 pub use retry_schedule::RetrySchedule;
 pub use tracker::{LimitChange, LimitFact, LimitTracker, MAX_TRANSIT_MS};
--- a/crates/core/src/limits/header.rs
+++ b/crates/core/src/limits/header.rs
@@ -1,44 +1,44 @@
-//! What a server says of its limit in the head of an answer.
+//! Limit headers in responses of backend servers.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second that a server takes from all daemons together; a number from 0 on.
+/// Requests per second that a server accepts from the whole fleet; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// A rate; none for what is no number, endless or below zero.
+    /// Creates a rate; `None` for NaN, infinite and negative values.
     pub fn new(per_second: f64) -> Option<Self> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
-        // Zero has two signs, and equal rates are to have equal bits.
+        // Maps -0.0 to 0.0, so that equal rates have equal bits.
         is_rate.then_some(RequestRate(per_second.abs()))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What the head of one answer says.
+/// Limit header of one response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub enum LimitHeader {
-    /// It names no limit.
+    /// The response has no limit header.
     #[default]
     Absent,
-    /// The limit.
+    /// The server's limit.
     Limit(RequestRate),
-    /// It names what is no limit, and so neither sets nor lifts one.
+    /// The value is not a rate; it neither sets nor lifts a limit.
     Malformed(String),
 }
 
 impl LimitHeader {
-    /// Reads the values of a header. Of several rates the lowest counts, whichever is meant.
+    /// Parses the values of the header. The lowest of several rates applies.
     pub fn parse<'a>(values: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut word = LimitHeader::Absent;
+        let mut header = LimitHeader::Absent;
         for text in values.into_iter().flat_map(|value| value.split(',')) {
             let rate = text.trim().parse().ok().and_then(RequestRate::new);
-            word = match (word, rate) {
+            header = match (header, rate) {
                 (LimitHeader::Limit(known), Some(rate)) if known <= rate => {
                     LimitHeader::Limit(known)
                 }
@@ -47,6 +47,6 @@
                 (known, None) => known,
             };
         }
-        word
+        header
     }
 }
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -6,32 +6,32 @@
 use crate::crashes::ServerStart;
 use crate::limits::issuer::MAX_PERMITS_PER_REQUEST;
 
-/// How long a permit may be used after it was asked for, in milliseconds: a daemon that was
-/// suspended must not use it when it wakes, and what is left over counts as used.
+/// Lifetime of a permit from the time it was requested, in milliseconds. It keeps a daemon that
+/// was suspended from using old permits on resume; unused permits count as used.
 pub const PERMIT_LIFETIME_MS: Millis = 250;
 
-/// How long permits count as scarce after none was to be had, in milliseconds.
+/// Time for which permits are considered scarce after a denial, in milliseconds.
 const SCARCE_MS: Millis = 10_000;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Lease {
     permits: u32,
     until: Millis,
-    /// Permits used since `counted_from`.
+    /// Permits used since `window_start`.
     used: u32,
-    counted_from: Millis,
-    /// When none was to be had.
+    window_start: Millis,
+    /// Time of the last denial.
     denied_at: Option<Millis>,
 }
 
-/// The permits of one daemon, by server.
+/// Permits of one daemon, by server start.
 #[derive(Debug, Clone, Default)]
 pub struct Leases {
     leases: HashMap<ServerStart, Lease>,
 }
 
 impl Leases {
-    /// Takes a permit for this server, when one is left; returns until when it may be used.
+    /// Takes a permit for this server if one is available; returns its expiry time.
     pub fn take(&mut self, now: Millis, server: &ServerStart) -> Option<Millis> {
         let lease = self.leases.get_mut(server)?;
         if lease.permits == 0 || now >= lease.until {
@@ -42,19 +42,19 @@
         Some(lease.until)
     }
 
-    /// Takes in permits that were asked for at `asked_at`.
-    pub fn add(&mut self, asked_at: Millis, server: &ServerStart, permits: u32) {
+    /// Adds permits that were requested at `requested_at`.
+    pub fn add(&mut self, requested_at: Millis, server: &ServerStart, permits: u32) {
         let lease = self.leases.entry(server.clone()).or_default();
-        if asked_at >= lease.until {
+        if requested_at >= lease.until {
             lease.permits = 0;
         }
-        // The shortest of their times holds for all.
-        let until = asked_at + PERMIT_LIFETIME_MS;
+        // All permits of the lease share the earliest expiry time.
+        let until = requested_at + PERMIT_LIFETIME_MS;
         lease.until = if lease.permits == 0 { until } else { lease.until.min(until) };
         lease.permits += permits;
     }
 
-    /// Takes back a permit that was not used, while it may still be.
+    /// Returns an unused permit to the lease, unless it has expired.
     pub fn give_back(&mut self, now: Millis, server: &ServerStart, until: Millis) {
         if now >= until {
             return;
@@ -65,36 +65,36 @@
         }
     }
 
-    /// Takes in that none was to be had.
+    /// Records that no permit could be obtained.
     pub fn record_denial(&mut self, now: Millis, server: &ServerStart) {
         self.leases.entry(server.clone()).or_default().denied_at = Some(now);
     }
 
-    /// Whether none was to be had of late. One request at a time asks then: each ask in vain
-    /// makes others wait longer.
+    /// Whether permits were denied recently. Callers should then ask for one request at a time,
+    /// because each denied request makes the others wait longer.
     pub fn is_scarce(&self, now: Millis, server: &ServerStart) -> bool {
         let denied_at = self.leases.get(server).and_then(|lease| lease.denied_at);
         denied_at.is_some_and(|at| now < at + SCARCE_MS)
     }
 
-    /// How many permits are worth asking for: one, and as many as were used of late.
+    /// Returns the number of permits to request: one, plus the number used recently.
     pub fn permits_to_request(&mut self, now: Millis, server: &ServerStart) -> u32 {
         let lease = self.leases.entry(server.clone()).or_default();
-        if now >= lease.counted_from + PERMIT_LIFETIME_MS {
+        if now >= lease.window_start + PERMIT_LIFETIME_MS {
             lease.used =
-                if now < lease.counted_from + 2 * PERMIT_LIFETIME_MS { lease.used / 2 } else { 0 };
-            lease.counted_from = now;
+                if now < lease.window_start + 2 * PERMIT_LIFETIME_MS { lease.used / 2 } else { 0 };
+            lease.window_start = now;
         }
         (1 + lease.used).min(MAX_PERMITS_PER_REQUEST)
     }
 
-    /// Permits left for this server.
-    pub fn left(&self, now: Millis, server: &ServerStart) -> u32 {
+    /// Returns the number of valid permits held for this server.
+    pub fn available(&self, now: Millis, server: &ServerStart) -> u32 {
         let lease = self.leases.get(server).filter(|lease| now < lease.until);
         lease.map_or(0, |lease| lease.permits)
     }
 
-    /// Forgets servers without a limit.
+    /// Drops the leases of servers for which `is_limited` is false.
     pub fn retain(&mut self, is_limited: impl Fn(&ServerStart) -> bool) {
         self.leases.retain(|server, _| is_limited(server));
     }
--- a/crates/core/tests/limit_issuer.rs
+++ b/crates/core/tests/limit_issuer.rs
@@ -1,8 +1,8 @@
-//! Permits of one daemon: how many, to whom first, and when who got none comes back.
+//! Permits issued and held by one daemon: number, priority and retry delays.
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::limits::{
-    ISSUERS_PER_SERVER, Issued, Issuer, IssuerRank, Leases, PERMIT_LIFETIME_MS, PermitRequest,
+    ISSUERS_PER_SERVER, Issued, Issuer, IssuerPosition, Leases, PERMIT_LIFETIME_MS, PermitRequest,
     RequestRate, RetrySchedule,
 };
 use bankcove_core::{Incarnation, Millis, Name};
@@ -20,13 +20,13 @@
     from: u64,
     urgency: u32,
 ) -> Issued {
-    let limit = RequestRate::new(per_s).expect("it is a rate");
-    let wish = PermitRequest { from: Incarnation(from), permits: 1, urgency };
-    // The fleet is as it was for long.
-    issuer.issue(now, &server(), limit, IssuerRank { rank, since: 0 }, wish)
+    let limit = RequestRate::new(per_s).expect("the rate is valid");
+    let request = PermitRequest { from: Incarnation(from), permits: 1, urgency };
+    // The membership has not changed for a long time.
+    issuer.issue(now, &server(), limit, IssuerPosition { rank, since: 0 }, request)
 }
 
-/// Permits of one issuer that is asked each millisecond from 10 s on for so long.
+/// Number of permits from an issuer that is asked each millisecond for `length_ms` from 10 s on.
 fn issued(rank: usize, per_s: f64, length_ms: Millis) -> u32 {
     let mut issuer = Issuer::default();
     let times = 10_000..10_000 + length_ms;
@@ -37,44 +37,44 @@
 fn all_issuers_together_stay_below_one_and_a_third_of_the_limit(per_s: f64) {
     let seconds = 100.0;
     let first = f64::from(issued(0, per_s, 100_000));
-    assert!(first >= 0.8 * per_s * seconds, "{first} of the first alone");
+    assert!(first >= 0.8 * per_s * seconds, "{first} issued by the first issuer alone");
     let all: u32 = (0..ISSUERS_PER_SERVER + 3).map(|rank| issued(rank, per_s, 100_000)).sum();
     let most = 1.3 * per_s * seconds + 4.0;
-    assert!(f64::from(all) <= most, "{all} of {most}");
+    assert!(f64::from(all) <= most, "{all} issued, more than {most}");
 }
 
 #[test]
-fn who_starts_anew_has_saved_up_nothing_and_issues_less_at_first() {
+fn a_new_issuer_starts_with_an_empty_bucket_and_a_lower_rate() {
     let mut issuer = Issuer::default();
-    let limit = RequestRate::new(10.0).expect("it is a rate");
-    let wish = PermitRequest { from: Incarnation(1), permits: 1, urgency: 0 };
-    let place = IssuerRank { rank: 0, since: 10_000 };
+    let limit = RequestRate::new(10.0).expect("the rate is valid");
+    let request = PermitRequest { from: Incarnation(1), permits: 1, urgency: 0 };
+    let position = IssuerPosition { rank: 0, since: 10_000 };
     let count = |issuer: &mut Issuer, from: Millis| -> u32 {
         let times = (from..from + 4_000).step_by(10);
-        times.map(|now| issuer.issue(now, &server(), limit, place, wish).permits).sum()
+        times.map(|now| issuer.issue(now, &server(), limit, position, request).permits).sum()
     };
-    assert_eq!(issuer.issue(10_000, &server(), limit, place, wish).permits, 0);
+    assert_eq!(issuer.issue(10_000, &server(), limit, position, request).permits, 0);
     assert!(count(&mut issuer, 10_000) <= 13);
     assert!(count(&mut issuer, 14_000) >= 33);
 }
 
 #[test]
-fn a_limit_of_nothing_lets_one_request_through_now_and_then() {
+fn a_limit_of_zero_still_allows_a_few_requests() {
     let few = issued(0, 0.0, 300_000);
-    assert!((5..=12).contains(&few), "{few} in 300 s");
+    assert!((5..=12).contains(&few), "{few} permits in 300 s");
 }
 
 #[test]
-fn who_gets_none_comes_back_in_its_turn_and_keeps_it() {
+fn denied_daemons_get_spaced_retry_times_and_keep_them() {
     let mut issuer = Issuer::default();
-    let turns: Vec<Millis> =
+    let delays: Vec<Millis> =
         (1..=5).map(|from| ask(&mut issuer, 10_000, 0, 2.0, from, 0).retry_ms).collect();
-    assert!(turns.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{turns:?}");
-    assert_eq!(ask(&mut issuer, 10_000, 0, 2.0, 3, 0).retry_ms, turns[2]);
+    assert!(delays.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{delays:?}");
+    assert_eq!(ask(&mut issuer, 10_000, 0, 2.0, 3, 0).retry_ms, delays[2]);
 }
 
 #[test]
-fn the_more_urgent_come_first_and_the_others_are_not_starved() {
+fn more_urgent_requests_have_priority_and_the_others_are_not_starved() {
     let mut issuer = Issuer::default();
     let (mut urgent, mut others) = (0, 0);
     for now in (10_000..70_000).step_by(20) {
@@ -86,29 +86,29 @@
 }
 
 #[test]
-fn a_permit_is_used_at_once_or_not_at_all() {
+fn a_permit_expires_soon_after_it_was_requested() {
     let mut leases = Leases::default();
     leases.add(1_000, &server(), 2);
-    let until = leases.take(1_100, &server()).expect("two are there");
+    let until = leases.take(1_100, &server()).expect("two permits are available");
     assert_eq!(until, 1_000 + PERMIT_LIFETIME_MS);
     leases.give_back(1_150, &server(), until);
-    assert_eq!(leases.left(1_150, &server()), 2);
-    // A host that was suspended meanwhile has none.
+    assert_eq!(leases.available(1_150, &server()), 2);
+    // After a suspension longer than their lifetime, the permits have expired.
     assert!(leases.take(1_000 + PERMIT_LIFETIME_MS, &server()).is_none());
     leases.give_back(1_000 + PERMIT_LIFETIME_MS, &server(), until);
     leases.add(2_000, &server(), 1);
-    assert_eq!(leases.left(2_000, &server()), 1);
+    assert_eq!(leases.available(2_000, &server()), 1);
 }
 
 #[test]
-fn callers_come_back_one_after_the_other_and_none_too_late() {
-    let mut returns = RetrySchedule::default();
+fn retry_delays_of_callers_are_spaced_and_bounded() {
+    let mut schedule = RetrySchedule::default();
     let service = Name::from("pool");
-    let times: Vec<Millis> =
-        (0..8).map(|_| returns.next_delay(1_000, &service, 100, 2.0, u64::MAX / 2)).collect();
-    assert_eq!(times[0], 100);
-    assert!(times.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{times:?}");
-    let late: Vec<Millis> =
-        (0..50).map(|_| returns.next_delay(1_000, &service, 100, 0.0, u64::MAX / 2)).collect();
-    assert!(late.iter().all(|after| *after <= 5_000), "{late:?}");
+    let delays: Vec<Millis> =
+        (0..8).map(|_| schedule.next_delay(1_000, &service, 100, 2.0, u64::MAX / 2)).collect();
+    assert_eq!(delays[0], 100);
+    assert!(delays.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{delays:?}");
+    let bounded: Vec<Millis> =
+        (0..50).map(|_| schedule.next_delay(1_000, &service, 100, 0.0, u64::MAX / 2)).collect();
+    assert!(bounded.iter().all(|delay_ms| *delay_ms <= 5_000), "{bounded:?}");
 }
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -184,7 +184,7 @@
                 "server": fact.server.name, "started_ms": fact.server.started_ms,
                 "per_s": fact.limit.map(|rate| rate.per_second()),
                 "heard_ms_ago": fact.received_age_ms,
-                "permits_here": self.leases.lock().left(now, &fact.server),
+                "permits_here": self.leases.lock().available(now, &fact.server),
                 "issuer_rank": level.map(|(rank, _)| rank),
                 "permits_to_issue": level.map(|(_, left)| left),
             })
--- a/crates/daemon/src/hints/issue.rs
+++ b/crates/daemon/src/hints/issue.rs
@@ -1,7 +1,7 @@
 //! Issues permits to peers and to this daemon itself.
 
 use bankcove_core::Millis;
-use bankcove_core::limits::{Issued, IssuerRank, LimitFact, PermitRequest};
+use bankcove_core::limits::{Issued, IssuerPosition, LimitFact, PermitRequest};
 
 use crate::hints::Hints;
 use crate::peer::PermitAnswer;
@@ -28,7 +28,7 @@
         // A daemon that takes itself for alone would rank first for every server.
         let rank = self.issuers(&fact.server).iter().position(Option::is_none);
         let rank = rank.filter(|_| self.fleet.size().is_some()).unwrap_or(usize::MAX);
-        let place = IssuerRank { rank, since: self.fleet_since() };
+        let place = IssuerPosition { rank, since: self.fleet_since() };
         let issued = self.issuer.lock().issue(now, &fact.server, limit, place, wish);
         PermitAnswer { issued, is_free: false, newer }
     }
