--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -1,16 +1,16 @@
-//! Requests that crash the servers which run them.
+//! Detection and blocking of requests that crash backend servers.
 //!
-//! A caller may send such a request again and again, by way of any host; no host sees more
-//! than a part of it. So daemons tell each other facts: that a start of a server crashed, and
-//! which requests it was running. Facts only add up, each crash once however many tell it,
-//! and from the same facts every daemon draws the same verdict: a request under which
-//! [`CRASHES_TO_BLOCK`] servers have crashed runs nowhere any more.
+//! A caller may repeat such a request through any host, and each host sees only some of the
+//! attempts. Daemons therefore exchange facts: which server starts crashed, and which requests
+//! each was running. Merging facts is idempotent, so a crash counts once however many daemons
+//! report it, and the same facts lead to the same verdict on every daemon: a request that was
+//! running on [`CRASHES_TO_BLOCK`] servers when they crashed is blocked everywhere.
 //!
-//! A crash takes along all that its server was running, so that most requests aboard are
-//! innocent. What tells them apart: they succeed the next time ([`CrashTracker::record_success`]);
-//! many servers that crash at the same moment have a cause of their own, and count once; a
-//! crash under a request that is blocked already is explained by that one; and two requests
-//! with the same crashes run apart from each other once more before either is blocked.
+//! A crash ends all requests of its server, and most of them did not cause it. These rules tell
+//! them from the cause: they succeed on the next attempt ([`CrashTracker::record_success`]); many
+//! servers that crash at the same time have an external cause and count once; a crash of a server
+//! that was running a blocked request is attributed to that request; and two requests with the
+//! same crashes run once more, on different servers, before either is blocked.
 
 mod decision;
 mod facts;
--- a/crates/core/src/crashes/facts.rs
+++ b/crates/core/src/crashes/facts.rs
@@ -1,5 +1,5 @@
-//! What daemons tell each other of crashes. Times are told as ages: no two hosts have the
-//! same clock.
+//! Facts about crashes that daemons exchange. Times are sent as ages because the clocks of hosts
+//! differ.
 
 use std::collections::BTreeSet;
 
@@ -11,69 +11,70 @@
 /// One start of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerStart {
-    /// The server.
+    /// Name of the server.
     pub name: Name,
-    /// When this start began, in milliseconds since 1970; 0 where nobody tells.
+    /// Time of this start, in milliseconds since 1970; 0 if unknown.
     pub started_ms: Millis,
 }
 
 impl ServerStart {
-    /// Key by which the daemons that have something to do with it are found.
+    /// Returns the rendezvous hashing key that selects the daemons responsible for this start.
     pub fn key(&self) -> u64 {
         xxh3_64(self.name.as_str().as_bytes()) ^ self.started_ms
     }
 }
 
-/// A server that has crashed.
+/// Crash of a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The start of it that is gone.
+    /// Server start that crashed.
     pub server: ServerStart,
-    /// How long ago its connections broke, in milliseconds.
+    /// Time since its connections broke, in milliseconds.
     pub age_ms: Millis,
-    /// Requests that it was running, as far as the teller knows.
+    /// Requests that it was running, as far as the sender knows.
     #[serde(rename = "aboard")]
     pub running: BTreeSet<Fingerprint>,
 }
 
-/// Word that a request does not crash its servers: crashes before it don't count.
+/// Clearance of a request: earlier crashes don't count against it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cleared {
-    /// The request.
+    /// Cleared request.
     pub request: Fingerprint,
-    /// How long ago it ended well, or an operator lifted its block, in milliseconds.
+    /// Time since it succeeded or an operator lifted its block, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// A request that runs nowhere any more.
+/// Block of a request that crashed servers; no host sends it any more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Block {
-    /// The request.
+    /// Blocked request.
     pub request: Fingerprint,
-    /// How long ago it was blocked, in milliseconds.
+    /// Time since it was blocked, in milliseconds.
     pub age_ms: Millis,
-    /// Servers that crashed under it.
+    /// Servers that crashed while running it.
     pub servers: Vec<Name>,
 }
 
-/// Facts for a peer.
+/// Facts sent to a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashFacts {
-    /// Servers that have crashed.
+    /// Crashes of servers.
     pub crashes: Vec<Crash>,
-    /// Requests that don't crash their servers.
+    /// Clearances of requests.
     pub cleared: Vec<Cleared>,
-    /// Requests that run nowhere any more.
+    /// Blocks of requests.
     pub blocks: Vec<Block>,
 }
 
 impl CrashFacts {
-    /// Whether there is nothing to tell.
+    /// Whether there are no facts.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty() && self.blocks.is_empty()
     }
 
-    /// The same facts, told so much later.
+    /// Returns the facts with all ages increased by `by` milliseconds, the time for which they
+    /// waited to be sent.
     #[must_use]
     pub fn aged(mut self, by: Millis) -> Self {
         self.crashes.iter_mut().for_each(|crash| crash.age_ms += by);
@@ -82,8 +83,8 @@
         self
     }
 
-    /// Adds other facts; what is new of one crash is told as one.
-    pub fn add(&mut self, other: &CrashFacts) {
+    /// Adds other facts; reports of the same crash are merged into one.
+    pub fn merge(&mut self, other: &CrashFacts) {
         for crash in &other.crashes {
             match self.crashes.iter_mut().find(|known| known.server == crash.server) {
                 Some(known) => known.running.extend(&crash.running),
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -1,4 +1,4 @@
-//! Crashes that are remembered, by server and by request, and which of them speak against a
+//! Recent crashes, indexed by server and by request, and the evidence that they are against a
 //! request.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -6,44 +6,45 @@
 use super::facts::{Crash, ServerStart};
 use crate::{Fingerprint, Millis};
 
-/// How long a crash is remembered, in milliseconds: a caller that comes every minute is still
-/// stopped at its third one.
+/// Retention of crashes, in milliseconds: long enough to block a caller that retries every minute
+/// at its third crash.
 const RETENTION_MS: Millis = 300_000;
 
-/// Crashes that are told are younger than this, in milliseconds: what one daemon has just
-/// forgotten must not come back from another.
-const REPORTED_MS: Millis = RETENTION_MS - 10_000;
+/// Maximum age of crashes that are sent to peers, in milliseconds. It is below the retention, so
+/// that a crash that one daemon has just dropped is not sent back by another.
+const MAX_REPORTED_AGE_MS: Millis = RETENTION_MS - 10_000;
 
-/// Crashes remembered at most: of a pool that a crash a second keeps down, some four minutes.
+/// Maximum number of crashes: about four minutes at one crash per second.
 const MAX_CRASHES: usize = 256;
 
-/// Requests remembered of one crash at most: twice what an engine runs at once.
-const MAX_ABOARD: usize = 128;
+/// Maximum number of requests per crash: twice what an engine runs concurrently.
+const MAX_REQUESTS_PER_CRASH: usize = 128;
 
-/// Crashes within this of the first one may have one cause, in milliseconds: hosts see those
-/// of a rack within some 10 ms, and a word between hosts is under way for some 10 ms more.
-const SAME_MOMENT_MS: Millis = 100;
+/// Crashes within this time of the first one, in milliseconds, may have a common cause: hosts
+/// detect the crashes of a rack within about 10 ms, and a message between hosts takes about
+/// 10 ms more.
+const INCIDENT_WINDOW_MS: Millis = 100;
 
-/// Crashes that speak against a request.
+/// Crashes that count against a request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Evidence<'a> {
-    /// The servers, the first one first.
+    /// Crashed servers, in the order of their crashes.
     pub(super) servers: Vec<&'a ServerStart>,
-    /// How many moments they crashed in.
-    pub(super) moments: usize,
+    /// Number of incidents, that is groups of nearly simultaneous crashes.
+    pub(super) incidents: usize,
 }
 
-/// One crash.
+/// Time of a crash and the requests that its server was running.
 #[derive(Debug, Clone, Default)]
-struct Remembered {
+struct CrashRecord {
     at: Millis,
     running: BTreeSet<Fingerprint>,
 }
 
-/// The crashes that are remembered.
+/// Recent crashes, bounded in age and number.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CrashHistory {
-    crashes: BTreeMap<ServerStart, Remembered>,
+    crashes: BTreeMap<ServerStart, CrashRecord>,
     by_request: HashMap<Fingerprint, BTreeSet<ServerStart>>,
     dropped: u64,
 }
@@ -53,33 +54,34 @@
         self.crashes.len()
     }
 
-    /// Facts that gave way to newer ones.
+    /// Returns the number of facts dropped because of the size bounds.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Whether this start of a server is known to have crashed.
-    pub(super) fn has(&self, server: &ServerStart) -> bool {
+    /// Whether this server start is known to have crashed.
+    pub(super) fn contains(&self, server: &ServerStart) -> bool {
         self.crashes.contains_key(server)
     }
 
-    /// How many crashes this request was aboard of, whatever their cause.
+    /// Returns the number of crashes of servers that were running this request, whatever their
+    /// cause.
     pub(super) fn crash_count(&self, request: Fingerprint) -> usize {
         self.by_request.get(&request).map_or(0, BTreeSet::len)
     }
 
-    /// Requests that this start of a server was running when it crashed.
+    /// Returns the requests that this server start was running when it crashed.
     pub(super) fn requests_of(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
         self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
     }
 
-    /// Requests that were aboard of a crash beside this one, and this one.
+    /// Returns the requests that share a crash with this one, and this one.
     pub(super) fn crashed_with(&self, request: Fingerprint) -> impl Iterator<Item = Fingerprint> {
         let servers = self.by_request.get(&request).into_iter().flatten();
         servers.flat_map(|server| self.requests_of(server))
     }
 
-    /// Adds a crash, or to what is known of it; the requests that are new there.
+    /// Adds a crash, or requests to a known crash; returns the requests that are new for it.
     pub(super) fn add(
         &mut self,
         at: Millis,
@@ -89,10 +91,10 @@
         let crash = self
             .crashes
             .entry(server.clone())
-            .or_insert_with(|| Remembered { at, running: BTreeSet::new() });
+            .or_insert_with(|| CrashRecord { at, running: BTreeSet::new() });
         let mut new = Vec::new();
         for request in running {
-            if crash.running.len() >= MAX_ABOARD && !crash.running.contains(&request) {
+            if crash.running.len() >= MAX_REQUESTS_PER_CRASH && !crash.running.contains(&request) {
                 self.dropped += 1;
                 continue;
             }
@@ -101,38 +103,38 @@
                 new.push(request);
             }
         }
-        self.make_room();
+        self.evict_oldest();
         new
     }
 
-    /// Forgets crashes that are too long ago.
+    /// Drops crashes that are older than the retention.
     pub(super) fn forget_old(&mut self, now: Millis) {
-        let is_old = |crash: &Remembered| now.saturating_sub(crash.at) >= RETENTION_MS;
-        let old = self.crashes.iter().filter(|(_, crash)| is_old(crash));
-        let old: Vec<ServerStart> = old.map(|(server, _)| server.clone()).collect();
-        old.iter().for_each(|server| self.forget(server));
+        let is_expired = |crash: &CrashRecord| now.saturating_sub(crash.at) >= RETENTION_MS;
+        let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
+        let expired: Vec<ServerStart> = expired.map(|(server, _)| server.clone()).collect();
+        expired.iter().for_each(|server| self.forget(server));
     }
 
-    /// Whether a crash of this age is still worth telling.
-    pub(super) fn is_reported_at(age_ms: Millis) -> bool {
-        age_ms < REPORTED_MS
+    /// Whether a crash of this age is sent to peers.
+    pub(super) fn is_reportable(age_ms: Millis) -> bool {
+        age_ms < MAX_REPORTED_AGE_MS
     }
 
-    /// The crashes that are told to a peer.
-    pub(super) fn told(&self, now: Millis) -> impl Iterator<Item = Crash> {
+    /// Returns the crashes that are sent to peers.
+    pub(super) fn reportable(&self, now: Millis) -> impl Iterator<Item = Crash> {
         let crashes = self.crashes.iter().map(move |(server, crash)| Crash {
             server: server.clone(),
             age_ms: now.saturating_sub(crash.at),
             running: crash.running.clone(),
         });
-        crashes.filter(|crash| Self::is_reported_at(crash.age_ms))
+        crashes.filter(|crash| Self::is_reportable(crash.age_ms))
     }
 
-    /// Crashes that speak against `request`, the earliest first: those after `since`, but for
-    /// those that a request which `explains` has caused, and those of one moment with crashes
-    /// of servers that were not running it, which count once. A caller whose copies run on
-    /// several servers of a rack that loses power has crashed none of them.
-    pub(super) fn against(
+    /// Returns the crashes after `since` that count against `request`, earliest first. Crashes
+    /// that another request `explains` don't count. Crashes at the same time as one of a server
+    /// that was not running `request` count once: a request with copies on several servers of a
+    /// rack that loses power has crashed none of them.
+    pub(super) fn evidence_against(
         &self,
         request: Fingerprint,
         since: Option<Millis>,
@@ -140,46 +142,49 @@
     ) -> Evidence<'_> {
         let servers = self.by_request.get(&request).into_iter().flatten();
         let crashes = servers.filter_map(|server| self.crashes.get_key_value(server));
-        let mut crashes: Vec<(&ServerStart, &Remembered)> = crashes
+        let mut crashes: Vec<(&ServerStart, &CrashRecord)> = crashes
             .filter(|(_, crash)| since.is_none_or(|since| crash.at > since))
             .filter(|(_, crash)| {
                 !crash.running.iter().any(|other| *other != request && explains(other))
             })
             .collect();
         crashes.sort_by_key(|(_, crash)| crash.at);
-        crashes.dedup_by(|(_, later), (_, first)| self.is_one_cause(request, first, later));
-        let mut moments = 0;
-        let mut began = None;
+        crashes.dedup_by(|(_, later), (_, first)| self.has_common_cause(request, first, later));
+        let mut incidents = 0;
+        let mut incident_start = None;
         for (_, crash) in &crashes {
-            if began.is_none_or(|began| crash.at - began > SAME_MOMENT_MS) {
-                began = Some(crash.at);
-                moments += 1;
+            if incident_start
+                .is_none_or(|incident_start| crash.at - incident_start > INCIDENT_WINDOW_MS)
+            {
+                incident_start = Some(crash.at);
+                incidents += 1;
             }
         }
-        Evidence { servers: crashes.into_iter().map(|(server, _)| server).collect(), moments }
+        Evidence { servers: crashes.into_iter().map(|(server, _)| server).collect(), incidents }
     }
 
-    /// Whether a server crashed under the request after `from`, up to `to`.
-    pub(super) fn was_aboard_between(
-        &self,
-        request: Fingerprint,
-        from: Millis,
-        to: Millis,
-    ) -> bool {
+    /// Whether a server that was running the request crashed after `from` and up to `to`.
+    pub(super) fn crashed_between(&self, request: Fingerprint, from: Millis, to: Millis) -> bool {
         let servers = self.by_request.get(&request).into_iter().flatten();
         let mut crashes = servers.filter_map(|server| self.crashes.get(server));
         crashes.any(|crash| crash.at > from && crash.at <= to)
     }
 
-    /// Whether both crashes came at one moment, in which a server crashed as well that was
-    /// not running `request`.
-    fn is_one_cause(&self, request: Fingerprint, first: &Remembered, later: &Remembered) -> bool {
-        let is_near = |crash: &Remembered| crash.at.abs_diff(first.at) <= SAME_MOMENT_MS;
-        let of_others = |crash: &Remembered| is_near(crash) && !crash.running.contains(&request);
-        is_near(later) && self.crashes.values().any(of_others)
+    /// Whether both crashes happened at the same time as the crash of a server that was not
+    /// running `request`.
+    fn has_common_cause(
+        &self,
+        request: Fingerprint,
+        first: &CrashRecord,
+        later: &CrashRecord,
+    ) -> bool {
+        let is_near = |crash: &CrashRecord| crash.at.abs_diff(first.at) <= INCIDENT_WINDOW_MS;
+        let is_unrelated =
+            |crash: &CrashRecord| is_near(crash) && !crash.running.contains(&request);
+        is_near(later) && self.crashes.values().any(is_unrelated)
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
             let Some(oldest) = oldest.map(|(server, _)| server.clone()) else { return };
--- a/crates/core/src/crashes/tracker.rs
+++ b/crates/core/src/crashes/tracker.rs
@@ -1,94 +1,94 @@
-//! What one daemon knows of crashes, and what follows for a request.
+//! Crash state of one daemon and the resulting verdict for each request.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::decision::{CRASHES_TO_BLOCK, Pending, is_enough};
+use super::decision::{CRASHES_TO_BLOCK, Pending, is_sufficient};
 use super::facts::{Block, Cleared, Crash, CrashFacts, ServerStart};
 use super::history::CrashHistory;
 use crate::{Fingerprint, Millis, Name};
 
-/// How long a request stays blocked, in milliseconds: a caller that nobody stops costs
-/// three servers a day, and one whose cause was mended is served the next day at the latest.
+/// Duration of a block, in milliseconds. A caller that never stops crashes three servers a day,
+/// and a caller whose problem was fixed is served on the next day at the latest.
 pub const BLOCK_DURATION_MS: Millis = 24 * 3_600_000;
 
-/// Requests blocked at most: 1,000 of some 150 bytes each.
+/// Maximum number of blocked requests: 1,000 of about 150 bytes each.
 const MAX_BLOCKS: usize = 1_000;
 
-/// Requests remembered as cleared at most: those aboard of some hundred crashes.
+/// Maximum number of cleared requests: those of about a hundred crashes.
 const MAX_CLEARED: usize = 4_000;
 
-/// Two words of the same success differ by what they were under way, in milliseconds.
+/// Two reports of the same success may differ by their time in transit, in milliseconds.
 const SAME_SUCCESS_MS: Millis = 1_000;
 
-/// What follows for a request that is to run.
+/// Decision on whether and where a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it, or one crash.
+    /// At most one crash counts against it; it may run anywhere.
     Allowed,
-    /// One more crash blocks it: it is to run at its [`CrashTracker::placement`].
+    /// One more crash blocks it; it may run only at its [`CrashTracker::placement`].
     Suspect,
-    /// Another request has the same crashes, enough of them: it may run once more, sent by one
-    /// host alone, and at its [`CrashTracker::placement`].
+    /// It has enough crashes to be blocked, but another request has the same ones: it may run
+    /// once more, sent by a single host, at its [`CrashTracker::placement`].
     Isolated,
-    /// It may be blocked: whether servers that broke off have crashed, or what peers know of
-    /// who else was aboard, is being found out.
+    /// It may have to be blocked: the daemon is still checking whether disconnected servers have
+    /// crashed, or waiting for peers to report the other requests of a crash.
     Undecided,
-    /// It runs nowhere any more.
+    /// It must not run anywhere.
     Blocked,
 }
 
-/// How much is remembered.
+/// Sizes of the crash state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct CrashStats {
-    /// Crashes.
+    /// Number of crashes.
     pub crashes: usize,
-    /// Requests blocked.
+    /// Number of blocked requests.
     pub blocks: usize,
-    /// Facts that gave way to newer ones.
+    /// Number of facts evicted for newer ones.
     pub dropped: u64,
 }
 
-/// A request that runs nowhere any more.
+/// A block in force.
 #[derive(Debug, Clone)]
 struct Blocked {
     at: Millis,
     servers: Vec<Name>,
 }
 
-/// Until when crashes don't speak against a request.
+/// Time up to which crashes don't count against a request.
 #[derive(Debug, Clone, Copy, Default)]
 struct Clearance {
     at: Millis,
-    /// Up to when others were told.
+    /// Clearance time last announced to peers.
     announced_at: Option<Millis>,
-    /// Whether it made a block void, which a host that was cut off may still bring back.
+    /// Whether it ended a block. A host that was partitioned may still report that block.
     voids_block: bool,
 }
 
-/// What one daemon knows of crashes.
+/// Crashes, clearances and blocks that one daemon knows.
 #[derive(Debug, Clone, Default)]
 pub struct CrashTracker {
     pub(super) history: CrashHistory,
-    /// Servers that broke off and may have crashed, and what they were running.
+    /// Disconnected servers that may have crashed, and the requests that they were running.
     unverified: BTreeMap<ServerStart, BTreeSet<Fingerprint>>,
     cleared: HashMap<Fingerprint, Clearance>,
     blocked: BTreeMap<Fingerprint, Blocked>,
-    /// Requests to be decided on.
+    /// Requests waiting for a decision.
     pub(super) pending: Pending,
     dropped: u64,
 }
 
 impl CrashTracker {
-    /// Whether nothing is known, so that no request need be looked up.
+    /// Whether nothing is recorded, so that no request has to be looked up.
     pub fn is_empty(&self) -> bool {
-        let knows_crashes = self.history.len() > 0 || !self.unverified.is_empty();
-        !knows_crashes && self.blocked.is_empty() && self.cleared.is_empty()
+        let has_crashes = self.history.len() > 0 || !self.unverified.is_empty();
+        !has_crashes && self.blocked.is_empty() && self.cleared.is_empty()
     }
 
-    /// How much is remembered.
+    /// Returns the sizes of the crash state.
     pub fn stats(&self) -> CrashStats {
         CrashStats {
             crashes: self.history.len(),
@@ -97,38 +97,38 @@
         }
     }
 
-    /// What follows for a request that is to run now.
+    /// Returns the verdict for a request that is about to run.
     pub fn verdict(&self, request: Fingerprint) -> Verdict {
         if self.blocked.contains_key(&request) {
             return Verdict::Blocked;
         }
         let unverified =
             self.unverified.values().filter(|running| running.contains(&request)).count();
-        let sure = self.against(request);
-        let crashes = sure.servers.len() + unverified;
-        if is_enough(crashes, sure.moments + usize::from(unverified > 0)) {
-            // One that was decided on and is free has the same crashes as another.
-            let is_decided = unverified == 0 && !self.pending.has(request);
+        let evidence = self.evidence_against(request);
+        let crashes = evidence.servers.len() + unverified;
+        if is_sufficient(crashes, evidence.incidents + usize::from(unverified > 0)) {
+            // A request that was decided on and not blocked has the same crashes as another one.
+            let is_decided = unverified == 0 && !self.pending.contains(request);
             return if is_decided { Verdict::Isolated } else { Verdict::Undecided };
         }
         if crashes + 1 >= CRASHES_TO_BLOCK { Verdict::Suspect } else { Verdict::Allowed }
     }
 
-    /// Whether a success of this request would change anything.
+    /// Whether a success of this request would change the state.
     pub fn tracks(&self, request: Fingerprint) -> bool {
         self.history.crash_count(request) > 0 || self.blocked.contains_key(&request)
     }
 
-    /// Takes in that the connection over which this server was running a request broke.
-    /// Returns whether it is to be found out if the server has crashed, which then comes back
-    /// by [`CrashTracker::record_crash`] or [`CrashTracker::record_alive`], and news for peers.
+    /// Records that the connection to a server that was running a request broke. Returns updates
+    /// for peers, and whether the caller has to check if the server has crashed; the result is
+    /// reported by [`CrashTracker::record_crash`] or [`CrashTracker::record_alive`].
     pub fn record_disconnect(
         &mut self,
         now: Millis,
         server: &ServerStart,
         request: Fingerprint,
     ) -> (bool, CrashFacts) {
-        if self.history.has(server) {
+        if self.history.contains(server) {
             return (false, self.add_crash(now, now, server, [request]));
         }
         let is_new = !self.unverified.contains_key(server);
@@ -136,19 +136,20 @@
         (is_new, CrashFacts::default())
     }
 
-    /// The server that broke off has crashed; returns news for peers.
+    /// Records that a disconnected server has crashed; returns updates for peers.
     pub fn record_crash(&mut self, now: Millis, server: &ServerStart) -> CrashFacts {
         let running = self.unverified.remove(server).unwrap_or_default();
         self.add_crash(now, now, server, running)
     }
 
-    /// The server that broke off is there: a reset or a cut, and no crash.
+    /// Records that a disconnected server is still running: the connection was reset or the
+    /// network partitioned.
     pub fn record_alive(&mut self, server: &ServerStart) {
         self.unverified.remove(server);
     }
 
-    /// A request has ended well. Returns news for peers: of a request that two crashes speak
-    /// against, so that no third one blocks it where nobody saw it succeed.
+    /// Records that a request succeeded. Returns updates for peers if two crashes count against
+    /// the request, so that a third one does not block it on daemons that did not see the success.
     pub fn record_success(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
         if !self.tracks(request) {
             return CrashFacts::default();
@@ -157,7 +158,7 @@
         self.clearance_to_announce(now, request)
     }
 
-    /// An operator lets the request run again; returns news for peers.
+    /// Lifts the block of a request on behalf of an operator; returns updates for peers.
     pub fn lift(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
         self.clear(now, request);
         self.cleared.entry(request).and_modify(|clearance| {
@@ -167,14 +168,14 @@
         CrashFacts { cleared: vec![Cleared { request, age_ms: 0 }], ..CrashFacts::default() }
     }
 
-    /// Whether crashes up to `at` speak no more against the request.
+    /// Whether crashes up to `at` no longer count against the request.
     pub fn is_cleared_since(&self, request: Fingerprint, at: Millis) -> bool {
         self.cleared.get(&request).is_some_and(|clearance| clearance.at >= at)
     }
 
-    /// Takes in what a peer, or the store, has told; returns what was new, for other peers.
+    /// Merges facts from a peer or from the store; returns those that were new, for other peers.
     pub fn merge(&mut self, now: Millis, facts: CrashFacts) -> CrashFacts {
-        let mut news = CrashFacts::default();
+        let mut updates = CrashFacts::default();
         for cleared in facts.cleared {
             let at = now.saturating_sub(cleared.age_ms);
             let known = self.cleared.get(&cleared.request).and_then(|known| known.announced_at);
@@ -182,35 +183,36 @@
                 continue;
             }
             self.clear(at, cleared.request);
-            let told = |clearance: &mut Clearance| clearance.announced_at = Some(at);
-            self.cleared.entry(cleared.request).and_modify(told);
-            news.cleared.push(cleared);
+            let mark = |clearance: &mut Clearance| clearance.announced_at = Some(at);
+            self.cleared.entry(cleared.request).and_modify(mark);
+            updates.cleared.push(cleared);
         }
         for crash in
-            facts.crashes.into_iter().filter(|crash| CrashHistory::is_reported_at(crash.age_ms))
+            facts.crashes.into_iter().filter(|crash| CrashHistory::is_reportable(crash.age_ms))
         {
-            // What this daemon has not yet found out by itself is told by a peer.
+            // A peer's report settles a crash that this daemon has not verified yet.
             let mut running = self.unverified.remove(&crash.server).unwrap_or_default();
             running.extend(crash.running);
             let at = now.saturating_sub(crash.age_ms);
             let new = self.add_crash(now, at, &crash.server, running);
-            news.crashes.extend(new.crashes);
-            news.cleared.extend(new.cleared);
+            updates.crashes.extend(new.crashes);
+            updates.cleared.extend(new.cleared);
         }
         for block in facts.blocks {
             if self.insert_block(now, &block) {
-                news.blocks.push(block);
+                updates.blocks.push(block);
             }
         }
-        news
+        updates
     }
 
-    /// All that is known, for a peer that knows something else.
+    /// Returns all facts, for a peer with a different digest.
     pub fn facts(&self, now: Millis) -> CrashFacts {
-        let told = self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
+        let announced =
+            self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
         CrashFacts {
-            crashes: self.history.told(now).collect(),
-            cleared: told
+            crashes: self.history.reportable(now).collect(),
+            cleared: announced
                 .map(|(request, clearance)| Cleared {
                     request: *request,
                     age_ms: now.saturating_sub(clearance.at),
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Requests that run nowhere any more.
+    /// Returns the blocks in force.
     pub fn blocks(&self, now: Millis) -> Vec<Block> {
         let block = |(request, blocked): (&Fingerprint, &Blocked)| Block {
             request: *request,
@@ -230,12 +232,12 @@
         self.blocked.iter().map(block).collect()
     }
 
-    /// Hash of all that is told: two daemons with the same one need not tell each other. 0
-    /// when nothing is known.
+    /// Returns a hash of all facts that are sent to peers; 0 when there are none. Two daemons with
+    /// the same hash need not exchange facts.
     pub fn digest(&self, now: Millis) -> u64 {
         let mut sum = 0_u64;
         let mut add = |bytes: &[u8]| sum = sum.wrapping_add(xxh3_64(bytes));
-        for crash in self.history.told(now) {
+        for crash in self.history.reportable(now) {
             let server = crash.server.name.as_str().as_bytes();
             for request in &crash.running {
                 add(&[server, &crash.server.started_ms.to_le_bytes(), &request.0.to_le_bytes()]
@@ -243,12 +245,13 @@
             }
         }
         self.blocked.keys().for_each(|request| add(&request.0.to_le_bytes()));
-        let told = self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
-        told.for_each(|(request, _)| add(&[&[1], &request.0.to_le_bytes()[..]].concat()));
+        let announced =
+            self.cleared.iter().filter(|(_, clearance)| clearance.announced_at.is_some());
+        announced.for_each(|(request, _)| add(&[&[1], &request.0.to_le_bytes()[..]].concat()));
         sum
     }
 
-    /// Forgets what is too long ago.
+    /// Drops expired crashes, blocks and clearances.
     pub fn forget_old(&mut self, now: Millis) {
         self.history.forget_old(now);
         self.blocked.retain(|_, blocked| now.saturating_sub(blocked.at) < BLOCK_DURATION_MS);
@@ -260,6 +263,7 @@
         });
     }
 
+    /// Adds a crash that happened at `at`; returns the new facts about it, for peers.
     fn add_crash(
         &mut self,
         now: Millis,
@@ -271,35 +275,35 @@
         if new.is_empty() {
             return CrashFacts::default();
         }
-        let mut news = CrashFacts::default();
+        let mut updates = CrashFacts::default();
         for request in &new {
-            news.cleared.extend(self.clearance_to_announce(now, *request).cleared);
+            updates.cleared.extend(self.clearance_to_announce(now, *request).cleared);
         }
         let running: Vec<Fingerprint> = self.history.requests_of(server).collect();
         self.reconsider(now, &running);
         let age_ms = now.saturating_sub(at);
         let running = new.into_iter().collect();
-        news.crashes.push(Crash { server: server.clone(), age_ms, running });
-        news
+        updates.crashes.push(Crash { server: server.clone(), age_ms, running });
+        updates
     }
 
-    /// Whether the request runs nowhere any more.
+    /// Whether the request is blocked.
     pub(super) fn is_blocked(&self, request: Fingerprint) -> bool {
         self.blocked.contains_key(&request)
     }
 
-    /// Up to when crashes don't speak against the request.
+    /// Returns the time up to which crashes don't count against the request.
     pub(super) fn cleared_at(&self, request: Fingerprint) -> Option<Millis> {
         self.cleared.get(&request).map(|clearance| clearance.at)
     }
 
-    /// Takes a block; returns whether it is new and in force.
+    /// Inserts a block; returns whether it is new and in force.
     pub(super) fn insert_block(&mut self, now: Millis, block: &Block) -> bool {
         let request = block.request;
         let at = now.saturating_sub(block.age_ms);
         let is_lifted = self.cleared.get(&request).is_some_and(|clearance| clearance.at >= at);
-        let is_over = block.age_ms >= BLOCK_DURATION_MS;
-        if is_lifted || is_over || self.blocked.contains_key(&request) {
+        let is_expired = block.age_ms >= BLOCK_DURATION_MS;
+        if is_lifted || is_expired || self.blocked.contains_key(&request) {
             return false;
         }
         let blocked = Blocked { at, servers: block.servers.clone() };
@@ -313,25 +317,26 @@
         true
     }
 
-    /// Crashes before `at` speak no more against the request.
+    /// Stops crashes before `at` from counting against the request, and ends its block if the
+    /// remaining crashes don't justify it.
     fn clear(&mut self, at: Millis, request: Fingerprint) {
         let clearance = self.cleared.entry(request).or_default();
         clearance.at = clearance.at.max(at);
-        // Those with the same crashes may be left without one like them.
+        // Requests that had the same crashes may now be distinguishable, so decide on them again.
         let running: Vec<Fingerprint> = self.history.crashed_with(request).collect();
         self.reconsider(at, &running);
         let Some(blocked) = self.blocked.get(&request) else { return };
-        // Word of a success may come after the block that it makes void.
-        let has_evidence = self.history.crash_count(request) >= CRASHES_TO_BLOCK;
-        let is_void = has_evidence && self.count_against(request) < CRASHES_TO_BLOCK;
-        if is_void || at >= blocked.at {
+        // The report of a success may arrive after the block that it refutes.
+        let has_enough_crashes = self.history.crash_count(request) >= CRASHES_TO_BLOCK;
+        let is_refuted = has_enough_crashes && self.crashes_against(request) < CRASHES_TO_BLOCK;
+        if is_refuted || at >= blocked.at {
             self.blocked.remove(&request);
             self.cleared.entry(request).and_modify(|clearance| clearance.voids_block = true);
         }
-        self.make_room_for_clearances();
+        self.evict_oldest_clearance();
     }
 
-    fn make_room_for_clearances(&mut self) {
+    fn evict_oldest_clearance(&mut self) {
         if self.cleared.len() <= MAX_CLEARED {
             return;
         }
@@ -341,16 +346,17 @@
         self.dropped += 1;
     }
 
-    /// The word that clears a request, when others need it: a crash before it may count there.
+    /// Returns the clearance of a request if peers need it, because a crash before it may still
+    /// count against the request there.
     fn clearance_to_announce(&mut self, now: Millis, request: Fingerprint) -> CrashFacts {
-        let mut news = CrashFacts::default();
-        let Some(clearance) = self.cleared.get_mut(&request) else { return news };
+        let mut updates = CrashFacts::default();
+        let Some(clearance) = self.cleared.get_mut(&request) else { return updates };
         let announced_at = clearance.announced_at.unwrap_or(0);
-        let matters = self.history.was_aboard_between(request, announced_at, clearance.at);
-        if matters && self.history.crash_count(request) + 1 >= CRASHES_TO_BLOCK {
+        let is_needed = self.history.crashed_between(request, announced_at, clearance.at);
+        if is_needed && self.history.crash_count(request) + 1 >= CRASHES_TO_BLOCK {
             clearance.announced_at = Some(clearance.at);
-            news.cleared.push(Cleared { request, age_ms: now.saturating_sub(clearance.at) });
+            updates.cleared.push(Cleared { request, age_ms: now.saturating_sub(clearance.at) });
         }
-        news
+        updates
     }
 }
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -373,7 +373,7 @@
         crash(&mut here, 1_000 * Millis::from(n), n, &[FATAL]);
     }
     let (blocked_at, told_at) = (2_000 + DECISION_DELAY_MS, 2_050 + DECISION_DELAY_MS);
-    news.add(&decide(&mut here, 2_000));
+    news.merge(&decide(&mut here, 2_000));
     let blocks = CrashFacts { blocks: news.blocks, ..CrashFacts::default() };
     assert_eq!(blocks.blocks.len(), 1);
     there.lift(blocked_at + 40, FATAL);
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -43,7 +43,7 @@
             let mut news = CrashFacts::default();
             for (at, facts) in gathered {
                 // A block that seems younger than it is would outlive the word that lifted it.
-                news.add(&facts.aged(now.saturating_sub(at)));
+                news.merge(&facts.aged(now.saturating_sub(at)));
             }
             self.tell_some(&news);
         }
