--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,54 +1,54 @@
-//! Errors of the decisions.
+//! Errors of this crate.
 
 use crate::Name;
 
-/// What is wrong with one field of one row of the table.
+/// Invalid field of a table row.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
 #[error("{sheet} '{row}', field '{field}': {problem}; {fix}")]
 pub struct RowFault {
-    /// The sheet: halls, workspaces, budgets, servers or routes.
+    /// Sheet of the row: halls, workspaces, budgets, servers or routes.
     pub sheet: String,
-    /// The row's name.
+    /// Name of the row.
     pub row: Name,
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
-    /// What would mend it.
+    /// Suggested correction.
     pub fix: String,
 }
 
-/// An error of this layer.
+/// Error of this crate.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The table as a whole was refused; each fault is named.
+    /// The table was rejected because of these faults.
     #[error("the table has {} fault(s)", .0.len())]
     Table(Vec<RowFault>),
-    /// An edit was made from a row that has changed since.
+    /// The row has changed since the version on which the edit is based.
     #[error(
         "{sheet} '{row}' is at version {found}, the edit was made from version {expected}; read it again and repeat the edit"
     )]
     RowConflict {
-        /// The sheet of the row.
+        /// Sheet of the row.
         sheet: String,
-        /// The row's name.
+        /// Name of the row.
         row: Name,
-        /// Version that the edit was made from; 0 means "a new row".
+        /// Version on which the edit is based; 0 means "a new row".
         expected: u64,
-        /// Version that stands now; 0 means "no such row".
+        /// Current version; 0 means "no such row".
         found: u64,
     },
-    /// A row does not have the shape of its sheet.
+    /// The row does not match the schema of its sheet.
     #[error("{sheet} '{row}': {problem}")]
     RowShape {
-        /// The sheet of the row.
+        /// Sheet of the row.
         sheet: String,
-        /// The row's name, as far as it could be read.
+        /// Name of the row, if it could be read.
         row: String,
-        /// Path of the field and what is wrong there.
+        /// Path of the field and description of the problem.
         problem: String,
     },
 }
 
-/// Result of this layer.
+/// Result of this crate.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identities: of a process start, of a request, of one attempt at a request.
+//! Identifiers of process starts, requests and attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,37 +9,37 @@
 
 use crate::Name;
 
-/// One start of one daemon; a restart is a new incarnation.
+/// Identifier of one start of a daemon; a restart is a new incarnation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// 128-bit hash of (workspace, idempotency key): the identity of a request.
+/// 128-bit hash of workspace and idempotency key, which identifies a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestHash(pub u128);
 
-/// What a request asks for, the same for each attempt of its caller at whatever host:
-/// the first 128 bits of a SHA-256 over host, path with query, workspace and body. Headers
-/// and the attempt's own id don't count. A hash that can't be forged keeps one caller from
-/// having another's request taken for its own.
+/// Content hash of a request, the same for all attempts of its caller on any host: the first 128
+/// bits of the SHA-256 of host, path with query, workspace and body. Headers and the attempt id
+/// are not included. A cryptographic hash keeps a caller from forging a request with the
+/// fingerprint of another caller's request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
-/// One attempt of one daemon to serve a request.
+/// Identifier of one attempt of a daemon to serve a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The daemon's start that made the attempt.
+    /// Daemon start that made the attempt.
     pub incarnation: Incarnation,
-    /// Counts the attempts of that start.
+    /// Number of the attempt within that start.
     pub sequence: u64,
 }
 
-/// A text that does not name an identity.
+/// Error for a text that is not a valid identifier.
 #[derive(Debug, thiserror::Error)]
 #[error("'{0}' is not an identity in hexadecimal digits")]
 pub struct ParseIdError(String);
 
 impl RequestHash {
-    /// Hashes a workspace and the idempotency key that its caller sent.
+    /// Hashes a workspace and the idempotency key sent by its caller.
     pub fn of(workspace: &Name, key: &str) -> Self {
         let mut buf = Vec::with_capacity(workspace.as_str().len() + key.len() + 1);
         buf.extend_from_slice(workspace.as_str().as_bytes());
@@ -48,18 +48,18 @@
         RequestHash(xxh3_128(&buf))
     }
 
-    /// The one of `count` shards that holds this request.
+    /// Returns the index of the shard, out of `count`, that holds this request.
     pub fn shard(self, count: u32) -> u32 {
         (self.0 % u128::from(count)) as u32
     }
 }
 
 impl Fingerprint {
-    /// Hashes what is asked for: host, path with query, the caller's workspace (empty where
-    /// nobody has to show a key), body.
+    /// Hashes host, path with query, the caller's workspace (empty where no API key is required)
+    /// and body.
     pub fn of(host: &str, path: &str, workspace: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
-        // Lengths first, so that no two parts can run into each other.
+        // Length prefixes make the concatenation of the parts unambiguous.
         for part in [host.as_bytes(), path.as_bytes(), workspace.as_bytes(), body] {
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
@@ -69,18 +69,19 @@
         Fingerprint(first.fold(0, |bits, byte| bits << 8 | u128::from(*byte)))
     }
 
-    /// A key for rendezvous hashing.
+    /// Returns a key for rendezvous hashing: the low 64 bits.
     pub fn key(self) -> u64 {
         self.0 as u64
     }
 }
 
-/// The one of `count` shards that holds what is called `name`.
+/// Returns the index of the shard, out of `count`, that holds the item called `name`.
 pub fn shard_of_name(name: &Name, count: u32) -> u32 {
     (xxh3_64(name.as_str().as_bytes()) % u64::from(count)) as u32
 }
 
-/// Score of `member` for `key` in rendezvous hashing; the highest score owns.
+/// Returns the score of `member` for `key` in rendezvous hashing; the member with the highest
+/// score owns the key.
 pub fn rendezvous_score(key: u64, member: u64) -> u64 {
     let mut buf = [0; 16];
     buf[..8].copy_from_slice(&key.to_le_bytes());
@@ -88,7 +89,7 @@
     xxh3_64(&buf)
 }
 
-macro_rules! hex_identity {
+macro_rules! impl_hex_id {
     ($kind:ident, $inner:ty, $digits:literal) => {
         impl fmt::Display for $kind {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -133,9 +134,9 @@
     };
 }
 
-hex_identity!(Incarnation, u64, "16");
-hex_identity!(RequestHash, u128, "32");
-hex_identity!(Fingerprint, u128, "32");
+impl_hex_id!(Incarnation, u64, "16");
+impl_hex_id!(RequestHash, u128, "32");
+impl_hex_id!(Fingerprint, u128, "32");
 
 impl fmt::Display for AttemptId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -153,11 +154,11 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let wrong = || ParseIdError(text.to_owned());
-        let (incarnation, sequence) = text.split_once('-').ok_or_else(wrong)?;
+        let invalid = || ParseIdError(text.to_owned());
+        let (incarnation, sequence) = text.split_once('-').ok_or_else(invalid)?;
         Ok(AttemptId {
             incarnation: incarnation.parse()?,
-            sequence: sequence.parse().map_err(|_| wrong())?,
+            sequence: sequence.parse().map_err(|_| invalid())?,
         })
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of bankcove as pure state machines.
+//! The logic of bankcove as pure state machines, without I/O.
 //!
-//! Nothing in this package reads a clock, opens a socket, starts a task or
-//! draws a random number: times, seeds and answers of the store are arguments,
-//! and what is to be done comes back as commands. The daemon is a thin shell
-//! around these machines; tests and benches drive the same code directly.
+//! Nothing in this crate reads a clock, opens a socket, spawns a task or generates a random
+//! number: times, seeds and responses of the store are arguments, and the actions to take are
+//! return values. The daemon is a thin I/O layer around these state machines; tests and benchmarks
+//! run the same code directly.
 
 pub mod bill;
 pub mod crashes;
@@ -37,8 +37,8 @@
 pub use id::{AttemptId, Fingerprint, Incarnation, RequestHash};
 pub use name::Name;
 
-/// Milliseconds since some fixed start, as the shell's clock counts them.
+/// Milliseconds since an arbitrary fixed time, on the clock of the caller.
 pub type Millis = u64;
 
-/// Language-model tokens, the unit of every budget.
+/// Number of language model tokens, the unit of every budget.
 pub type Tokens = u64;
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -1,4 +1,4 @@
-//! Shared immutable names of rows: cheap to copy, cheap to compare.
+//! Immutable names of table rows with shared text: cheap to clone and to compare.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -6,26 +6,26 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name that the table takes, in bytes.
+/// Maximum length of a name in the table, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A name of a row in the table; a copy shares its text.
+/// Name of a row in the table; clones share the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The text of this name.
+    /// Returns the text of this name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Whether the text is 1 to 64 letters, digits, dots, dashes or underscores.
+    /// Whether the text consists of 1 to 64 ASCII letters, digits, dots, dashes or underscores.
     pub fn is_well_formed(&self) -> bool {
         let text = self.as_str();
         let length_fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
-        length_fits && text.chars().all(plain)
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
+        length_fits && text.chars().all(is_allowed)
     }
 }
 
