--- a/crates/core/tests/crash_fleet/main.rs
+++ b/crates/core/tests/crash_fleet/main.rs
@@ -1,20 +1,27 @@
-//! A fleet of daemons with the product's own book of crashes: cuts, frozen and restarted
-//! daemons, any order of crashes. A request that crashes its servers stops at three wherever
-//! it comes; a storm of crashes without such a request blocks hardly anybody.
+//! Simulates a fleet of daemons with the production crash tracker: network partitions, suspended
+//! and restarted daemons, and crashes in any order. A request that crashes its servers is blocked
+//! after three crashes on any host; frequent crashes without such a request block almost no
+//! request.
 
-mod world;
+mod simulation;
 
 use bankcove_core::Fingerprint;
 use proptest::prelude::*;
 use rand::Rng;
 
-use world::{BESIDE, FATAL, FUSE_MS, Kind, MOST_LATE_SENDS, TICK_MS, Trouble, World};
+use simulation::{
+    CONCURRENT, FATAL, Fault, FaultKind, MAX_LATE_SENDS, Simulation, TICK_MS, TIME_TO_CRASH_MS,
+};
 
-fn trouble(daemons: usize) -> impl Strategy<Value = Trouble> {
-    let kinds = prop_oneof![Just(Kind::Cut), Just(Kind::Frozen), Just(Kind::Restart)];
+fn fault(daemons: usize) -> impl Strategy<Value = Fault> {
+    let kinds = prop_oneof![
+        Just(FaultKind::Partition),
+        Just(FaultKind::Suspension),
+        Just(FaultKind::Restart)
+    ];
     (0..daemons, 0..1_500_u64, 10..400_u64, kinds).prop_map(|(daemon, from, length, kind)| {
         let from = from * TICK_MS;
-        Trouble { daemon, from, until: from + length * TICK_MS, kind }
+        Fault { daemon, from, until: from + length * TICK_MS, kind }
     })
 }
 
@@ -22,134 +29,134 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn a_request_that_crashes_its_servers_stops_at_three(
+    fn a_request_that_crashes_its_servers_is_blocked_after_three_crashes(
         seed in any::<u64>(),
         daemons in 1..24_usize,
         servers in 4..16_usize,
         pause in 10..120_u64,
-        troubles in prop::collection::vec(trouble(24), 0..8),
+        faults in prop::collection::vec(fault(24), 0..8),
     ) {
-        let here = troubles.into_iter().filter(|trouble| trouble.daemon < daemons).collect();
-        let mut world = World::new(seed, daemons, servers, here);
-        let mut honest = 1_000;
-        while world.now < 20_000 {
-            world.tick();
-            let daemon = world.rng.random_range(0..daemons);
-            if world.now % (pause * TICK_MS) == 0 {
-                world.send(daemon, FATAL, FUSE_MS, 0);
+        let faults = faults.into_iter().filter(|fault| fault.daemon < daemons).collect();
+        let mut sim = Simulation::new(seed, daemons, servers, faults);
+        let mut harmless = 1_000;
+        while sim.now < 20_000 {
+            sim.tick();
+            let daemon = sim.rng.random_range(0..daemons);
+            if sim.now % (pause * TICK_MS) == 0 {
+                sim.send(daemon, FATAL, TIME_TO_CRASH_MS, 0);
             }
-            if world.now % 50 == 0 {
-                honest += 1;
-                let run_ms = world.rng.random_range(50..1_500);
-                world.send(daemon, Fingerprint(honest), run_ms, 2);
+            if sim.now % 50 == 0 {
+                harmless += 1;
+                let run_ms = sim.rng.random_range(50..1_500);
+                sim.send(daemon, Fingerprint(harmless), run_ms, 2);
             }
         }
-        prop_assert!(world.late_sends <= MOST_LATE_SENDS, "{} late sends", world.late_sends);
+        prop_assert!(sim.late_sends <= MAX_LATE_SENDS, "{} late sends", sim.late_sends);
     }
 
-    /// All daemons are lost at once, whatever was known then: what was blocked stays so.
+    /// All daemons are lost at the same time, in any state: blocked requests stay blocked.
     #[test]
-    fn a_blocked_request_stays_so_through_the_loss_of_all_daemons(
+    fn a_blocked_request_stays_blocked_through_the_loss_of_all_daemons(
         seed in any::<u64>(),
         daemons in 1..12_usize,
         lost_at in 400..1_200_u64,
     ) {
         let lost_at = lost_at * TICK_MS;
-        let loss = |daemon| Trouble {
-            daemon, from: lost_at, until: lost_at + 1_000, kind: Kind::Restart,
+        let loss = |daemon| Fault {
+            daemon, from: lost_at, until: lost_at + 1_000, kind: FaultKind::Restart,
         };
-        let mut world = World::new(seed, daemons, 8, (0..daemons).map(loss).collect());
-        while world.now < 20_000 {
-            world.tick();
-            if world.now % 400 == 0 {
-                let daemon = world.rng.random_range(0..daemons);
-                world.send(daemon, FATAL, FUSE_MS, 0);
+        let mut sim = Simulation::new(seed, daemons, 8, (0..daemons).map(loss).collect());
+        while sim.now < 20_000 {
+            sim.tick();
+            if sim.now % 400 == 0 {
+                let daemon = sim.rng.random_range(0..daemons);
+                sim.send(daemon, FATAL, TIME_TO_CRASH_MS, 0);
             }
         }
-        prop_assert!(world.late_sends <= MOST_LATE_SENDS, "{} late sends", world.late_sends);
+        prop_assert!(sim.late_sends <= MAX_LATE_SENDS, "{} late sends", sim.late_sends);
     }
 }
 
-/// Of the honest requests in a storm of crashes fewer than this part may be refused. A third
-/// crash of one without a success in between takes two repeats that both meet a crash.
-const MOST_REFUSED: f64 = 0.001;
+/// Maximum fraction of harmless requests refused during frequent crashes. A request has three
+/// crashes without a success in between only if two repeats both meet a crash.
+const MAX_REFUSED: f64 = 0.001;
 
-/// Servers crash by themselves, one in so many milliseconds, for a minute; callers come up to
-/// three times again. One request in ten is the same as others of its caller.
+/// Servers crash on their own at a fixed interval for a minute, and callers retry up to three
+/// times. One request in ten is identical to others of its caller.
 #[test]
-fn a_storm_of_crashes_blocks_hardly_anybody() {
+fn frequent_crashes_block_almost_no_harmless_request() {
     let (mut sent, mut refused) = (0_usize, 0_usize);
     for seed in 0..20 {
-        let mut world = World::new(seed, 8, 12, Vec::new());
-        while world.now < 60_000 {
-            world.tick();
-            if world.now % 50 == 0 {
+        let mut sim = Simulation::new(seed, 8, 12, Vec::new());
+        while sim.now < 60_000 {
+            sim.tick();
+            if sim.now % 50 == 0 {
                 sent += 1;
-                let is_common = world.rng.random_range(0..10) == 0;
-                let common = u128::from(world.rng.random_range(10..15_u32));
+                let is_common = sim.rng.random_range(0..10) == 0;
+                let common = u128::from(sim.rng.random_range(10..15_u32));
                 let own = 10_000 + sent as u128;
                 let request = Fingerprint(if is_common { common } else { own });
-                let run_ms = world.rng.random_range(50..1_500);
-                let daemon = world.rng.random_range(0..8);
-                world.send(daemon, request, run_ms, 3);
+                let run_ms = sim.rng.random_range(50..1_500);
+                let daemon = sim.rng.random_range(0..8);
+                sim.send(daemon, request, run_ms, 3);
             }
-            if world.now % 700 == 0 {
-                let number = world.rng.random_range(0..12);
-                world.crash(number);
+            if sim.now % 700 == 0 {
+                let number = sim.rng.random_range(0..12);
+                sim.crash(number);
             }
         }
-        refused += world.refused.len();
+        refused += sim.refused.len();
     }
-    println!("{refused} of {sent} honest requests refused");
+    println!("{refused} of {sent} harmless requests refused");
     let share = refused as f64 / sent as f64;
-    assert!(share < MOST_REFUSED, "{refused} of {sent} refused");
+    assert!(share < MAX_REFUSED, "{refused} of {sent} refused");
 }
 
-/// Of the worlds in which an honest request runs beside the one that crashes its servers each
-/// time, it may be blocked in fewer than this part: where four servers crashed under both.
-const MOST_BLOCKED_BESIDE: f64 = 0.05;
+/// Maximum fraction of simulations in which a harmless request is blocked because it always runs
+/// beside the one that crashes its servers: those in which four servers crashed under both.
+const MAX_BLOCKED_CONCURRENT: f64 = 0.05;
 
-/// Both requests come together, to the same host and at first to the same server, so that they
-/// have the same crashes.
+/// Both requests are sent together, to the same host and at first to the same server, so that
+/// they have the same crashes.
 #[test]
-fn a_request_that_always_runs_beside_one_that_crashes_its_servers_is_hardly_ever_blocked() {
-    let (mut worlds, mut blocked, mut late_sends) = (0_usize, 0_usize, 0);
+fn a_harmless_request_beside_one_that_crashes_its_servers_is_rarely_blocked() {
+    let (mut simulations, mut blocked, mut late_sends) = (0_usize, 0_usize, 0);
     for seed in 0..200 {
-        let mut world = World::new(seed, 8, 12, Vec::new());
-        while world.now < 20_000 {
-            world.tick();
-            if world.now % 300 == 0 {
-                let daemon = world.rng.random_range(0..8);
-                world.send(daemon, FATAL, FUSE_MS, 0);
-                world.send_beside(daemon, BESIDE, 1_000);
+        let mut sim = Simulation::new(seed, 8, 12, Vec::new());
+        while sim.now < 20_000 {
+            sim.tick();
+            if sim.now % 300 == 0 {
+                let daemon = sim.rng.random_range(0..8);
+                sim.send(daemon, FATAL, TIME_TO_CRASH_MS, 0);
+                sim.send_concurrent(daemon, CONCURRENT, 1_000);
             }
         }
-        worlds += 1;
-        blocked += usize::from(world.refused.contains(&BESIDE));
-        late_sends = late_sends.max(world.late_sends);
-        assert!(world.refused.contains(&FATAL), "seed {seed}: {} crashes", world.crashes);
+        simulations += 1;
+        blocked += usize::from(sim.refused.contains(&CONCURRENT));
+        late_sends = late_sends.max(sim.late_sends);
+        assert!(sim.refused.contains(&FATAL), "seed {seed}: {} crashes", sim.crashes);
     }
-    println!("blocked in {blocked} of {worlds} worlds, {late_sends} late sends at most");
-    assert!(late_sends <= MOST_LATE_SENDS, "{late_sends} late sends");
-    assert!((blocked as f64) < MOST_BLOCKED_BESIDE * worlds as f64, "{blocked}");
+    println!("blocked in {blocked} of {simulations} simulations, {late_sends} late sends at most");
+    assert!(late_sends <= MAX_LATE_SENDS, "{late_sends} late sends");
+    assert!((blocked as f64) < MAX_BLOCKED_CONCURRENT * simulations as f64, "{blocked}");
 }
 
-/// All servers of a pool are lost at one moment, several times, with the same few requests
-/// running on all of them: nothing was wrong with any.
+/// All servers of a pool fail at the same time, several times, while the same few requests are
+/// running on all of them: none of the requests is the cause.
 #[test]
-fn servers_that_are_lost_together_block_no_common_request() {
+fn servers_that_fail_together_block_no_common_request() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 4, 8, Vec::new());
-        while world.now < 30_000 {
-            world.tick();
-            let request = Fingerprint(10 + u128::from(world.rng.random_range(0..4_u32)));
-            let daemon = world.rng.random_range(0..4);
-            let run_ms = world.rng.random_range(20..200);
-            world.send(daemon, request, run_ms, 0);
-            if world.now % 6_000 == 0 {
-                (0..8).for_each(|number| world.crash(number));
+        let mut sim = Simulation::new(seed, 4, 8, Vec::new());
+        while sim.now < 30_000 {
+            sim.tick();
+            let request = Fingerprint(10 + u128::from(sim.rng.random_range(0..4_u32)));
+            let daemon = sim.rng.random_range(0..4);
+            let run_ms = sim.rng.random_range(20..200);
+            sim.send(daemon, request, run_ms, 0);
+            if sim.now % 6_000 == 0 {
+                (0..8).for_each(|number| sim.crash(number));
             }
         }
-        assert!(world.refused.is_empty(), "{:?}", world.refused);
+        assert!(sim.refused.is_empty(), "{:?}", sim.refused);
     }
 }
