--- a/crates/core/src/crashes/decision.rs
+++ b/crates/core/src/crashes/decision.rs
@@ -58,6 +58,7 @@
         self.due.contains_key(&request)
     }
 
+    /// Schedules a decision on the requests, or postpones one that is already scheduled.
     pub(super) fn schedule(
         &mut self,
         now: Millis,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Removes and returns the requests whose decision is due.
     fn take_due(&mut self, now: Millis) -> Vec<Fingerprint> {
         let due = self.due.iter().filter(|(_, at)| **at <= now);
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
@@ -148,6 +150,7 @@
         })
     }
 
+    /// Blocks the request on the current evidence.
     fn block(&mut self, now: Millis, request: Fingerprint) -> Block {
         let evidence = self.evidence_against(request).servers;
         let servers: Vec<Name> = evidence.iter().map(|server| server.name.clone()).collect();
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -184,6 +184,7 @@
         is_near(later) && self.crashes.values().any(is_unrelated)
     }
 
+    /// Drops the oldest crashes while there are too many.
     fn evict_oldest(&mut self) {
         while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
--- a/crates/core/src/limits/issuer.rs
+++ b/crates/core/src/limits/issuer.rs
@@ -85,6 +85,7 @@
     pub retry_ms: Millis,
 }
 
+/// Token bucket for one server start.
 #[derive(Debug, Clone)]
 struct Bucket {
     permits: f64,
@@ -156,6 +157,7 @@
         }
     }
 
+    /// Sets the rank; after a promotion the full rate starts only after the handover time.
     fn set_rank(&mut self, now: Millis, rank: usize) {
         if rank < self.rank {
             self.full_rate_from = now + HANDOVER_MS;
@@ -180,6 +182,7 @@
         permits_per_ms
     }
 
+    /// Takes permits for a request; 0 if the bucket is empty or a more urgent request has priority.
     fn take(&mut self, now: Millis, permits_per_ms: f64, request: PermitRequest) -> u32 {
         if self.permits < 1.0 || self.yields_to_urgent(now, permits_per_ms, request.urgency) {
             self.record_unserved(now, request.urgency);
@@ -192,6 +195,7 @@
         permits
     }
 
+    /// Whether a request has to wait because a more urgent one recently got no permit.
     fn yields_to_urgent(&mut self, now: Millis, permits_per_ms: f64, urgency: u32) -> bool {
         let Some((most_urgent, at)) = self.unserved else { return false };
         if urgency <= most_urgent || now > at + URGENT_PRIORITY_MS || self.permits >= BURST {
@@ -206,6 +210,7 @@
         !is_due
     }
 
+    /// Records that a request of this urgency got no permit.
     fn record_unserved(&mut self, now: Millis, urgency: u32) {
         let is_recent = |(_, at): &(u32, Millis)| now <= at + URGENT_PRIORITY_MS;
         let known = self.unserved.filter(is_recent);
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -13,6 +13,7 @@
 /// Time for which permits are considered scarce after a denial, in milliseconds.
 const SCARCE_MS: Millis = 10_000;
 
+/// Permits for one server start, with a common expiry time.
 #[derive(Debug, Clone, Copy, Default)]
 struct Lease {
     permits: u32,
--- a/crates/core/src/limits/tracker.rs
+++ b/crates/core/src/limits/tracker.rs
@@ -45,6 +45,7 @@
     pub fact: LimitFact,
 }
 
+/// Limit of one server start, with the times of the request and of the response.
 #[derive(Debug, Clone, Copy)]
 struct Known {
     limit: Option<RequestRate>,
@@ -116,6 +117,7 @@
         is_new.then(|| self.update(now, &fact.server, received)).flatten()
     }
 
+    /// Replaces what is known of the server, or refreshes its times if the limit is the same.
     fn update(&mut self, now: Millis, server: &ServerStart, update: Known) -> Option<LimitChange> {
         let known = self.known.entry(server.clone()).or_insert(Known { limit: None, ..update });
         let before = known.limit;
