--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -1,4 +1,4 @@
-//! What a request cost.
+//! The cost of a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,20 +7,20 @@
 /// The bill of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
-    /// The request; it is billed once.
+    /// The request; only its first bill counts.
     pub request: RequestHash,
-    /// The attempt whose answer the caller got.
+    /// The attempt whose response the caller received.
     pub attempt: AttemptId,
-    /// The budget that paid.
+    /// The budget that is charged.
     pub budget: Name,
     /// Tokens read from the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens generated; for a plain service the price of the call.
+    /// Tokens generated; for a plain service, the price of the call.
     pub output_tokens: Tokens,
 }
 
 impl Bill {
-    /// Tokens that the request cost.
+    /// Returns the total number of tokens charged for the request.
     pub fn tokens(&self) -> Tokens {
         self.prompt_tokens + self.output_tokens
     }
--- a/crates/core/src/owner/gather.rs
+++ b/crates/core/src/owner/gather.rs
@@ -1,4 +1,4 @@
-//! Collections of unspent tokens: when one is due, and what it brought.
+//! Collections of unspent tokens from other holders: when to start one, and its result.
 
 use std::collections::HashMap;
 
@@ -6,56 +6,59 @@
 use crate::owner::message::HolderRef;
 use crate::{Millis, Name, Tokens};
 
-/// Shortest time between two collections for one budget, and one millisecond
-/// more for each holder beyond as many. A refusal rests on a collection that is
-/// no older, so it is told at once and costs each holder a bounded rate.
-const GATHER_INTERVAL_MS: Millis = 100;
+/// Minimum interval between the starts of two collections for one budget, in
+/// milliseconds; with more than 100 holders, one millisecond per holder. Requests that
+/// arrive within the interval reuse the last result, so that most refusals are immediate
+/// and the load on each holder stays bounded.
+const MIN_GATHER_INTERVAL_MS: Millis = 100;
 
-/// What a collection brought.
+/// State and result of the last collection for one budget.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Gather {
     running: bool,
     started: Option<Millis>,
     interval: Millis,
-    ended: bool,
-    /// Tokens that are left of what it brought.
+    finished: bool,
+    /// Collected tokens that are not yet assigned to a request.
     pub(super) free: Tokens,
-    /// Whether more may come: tokens reserved elsewhere, or silent holders.
+    /// Whether a later collection may return more: some tokens are reserved elsewhere, or
+    /// some holders did not respond.
     pub(super) more_expected: bool,
 }
 
 impl Gather {
-    /// Whether a request that came then may rely on it now.
-    fn serves(&self, now: Millis, arrived: Millis) -> bool {
+    /// Whether the result is recent enough for a request that arrived at `arrived`.
+    fn is_valid_for(&self, now: Millis, arrived: Millis) -> bool {
         let is_fresh = |started: Millis| started >= arrived || now < started + self.interval;
-        self.ended && self.started.is_some_and(is_fresh)
+        self.finished && self.started.is_some_and(is_fresh)
     }
 }
 
-/// What there is for a request.
+/// Outcome of looking up a collection for a request.
 pub(super) enum Lookup {
-    /// A collection that it may rely on.
-    Ended(Gather),
-    /// One that runs.
+    /// A finished collection whose result is recent enough.
+    Finished(Gather),
+    /// A collection is in progress.
     Running,
-    /// None: ask these holders.
+    /// A new collection has to be requested from these holders.
     Start(Vec<HolderRef>),
 }
 
-/// The last collection of each budget.
+/// The last collection for each budget.
 #[derive(Debug, Default)]
 pub(super) struct Gathers {
     by_budget: HashMap<Name, Gather>,
-    never: bool,
+    disabled: bool,
 }
 
 impl Gathers {
-    /// Collections that never bring anything: a baseline.
-    pub(super) fn none() -> Self {
-        Gathers { never: true, ..Gathers::default() }
+    /// Returns an instance that never collects, as a baseline for comparison.
+    pub(super) fn disabled() -> Self {
+        Gathers { disabled: true, ..Gathers::default() }
     }
 
-    /// The collection for a request that came at `arrived`.
+    /// Looks up the collection for a request that arrived at `arrived`, and marks one as
+    /// running if it has to be started.
     pub(super) fn for_request(
         &mut self,
         now: Millis,
@@ -63,38 +66,39 @@
         budget: &Name,
         holders: impl FnOnce() -> Vec<HolderRef>,
     ) -> Lookup {
-        if self.never {
-            return Lookup::Ended(Gather::default());
+        if self.disabled {
+            return Lookup::Finished(Gather::default());
         }
         let gather = self.by_budget.entry(budget.clone()).or_default();
         if gather.running {
             return Lookup::Running;
         }
-        if gather.serves(now, arrived) {
-            return Lookup::Ended(*gather);
+        if gather.is_valid_for(now, arrived) {
+            return Lookup::Finished(*gather);
         }
         let holders = holders();
-        let interval = GATHER_INTERVAL_MS.max(holders.len() as Millis);
+        let interval = MIN_GATHER_INTERVAL_MS.max(holders.len() as Millis);
         *gather = Gather { running: true, started: Some(now), interval, ..Gather::default() };
         Lookup::Start(holders)
     }
 
-    /// A collection has ended.
-    pub(super) fn ended(&mut self, budget: Name, free: Tokens, more_expected: bool) {
+    /// Records the result of a finished collection.
+    pub(super) fn finish(&mut self, budget: Name, free: Tokens, more_expected: bool) {
         let gather = self.by_budget.entry(budget).or_default();
-        *gather = Gather { running: false, ended: true, free, more_expected, ..*gather };
+        *gather = Gather { running: false, finished: true, free, more_expected, ..*gather };
     }
 
-    /// Takes the need of a draw, or a share, from what a collection brought.
+    /// Deducts the tokens for a draw from the collected ones: `need`, or more if the
+    /// draw's terms allow it. Returns the amount.
     pub(super) fn take(&mut self, draw: &Draw, need: Tokens) -> Tokens {
         let gather = self.by_budget.entry(draw.budget.clone()).or_default();
-        let most = draw.terms.amount(draw.want, gather.free).max(need);
-        gather.free = gather.free.saturating_sub(most);
-        most
+        let amount = draw.terms.amount(draw.want, gather.free).max(need);
+        gather.free = gather.free.saturating_sub(amount);
+        amount
     }
 
-    /// What ended collections brought is not relied on any more.
-    pub(super) fn forget_ended(&mut self) {
+    /// Discards the results of finished collections.
+    pub(super) fn discard_finished(&mut self) {
         self.by_budget.retain(|_, gather| gather.running);
     }
 }
--- a/crates/core/src/owner/machine.rs
+++ b/crates/core/src/owner/machine.rs
@@ -1,4 +1,4 @@
-//! The owner itself: one read or write under way, requests that wait.
+//! The owner's state machine: one store operation at a time, and a queue of requests.
 
 mod draw;
 mod without_store;
@@ -15,13 +15,14 @@
 use crate::shard::Shard;
 use crate::{Incarnation, Millis, Tokens};
 
-/// Writes that may come at once after a quiet time, beyond the first.
+/// Number of writes beyond the first that may follow without delay after an idle period.
 const WRITE_BURST: u64 = 7;
 
-/// A shard read longer ago than this is read again before a refusal.
+/// Maximum age in milliseconds of the shard's last read or write on which a refusal may
+/// be based; an older copy is read again first.
 const MAX_SHARD_AGE_MS: Millis = 1_000;
 
-/// How long the store is left alone after it was away.
+/// Delay in milliseconds before the next store operation after a failure of the store.
 const STORE_RETRY_DELAY_MS: Millis = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,41 +40,44 @@
 }
 
 impl Pending {
-    /// Whether it does not wait for others any more.
+    /// Whether the request is served now, without waiting for others to share its write.
     fn is_due(&self, now: Millis) -> bool {
-        let is_ahead = matches!(&self.request, Request::Draw(draw) if draw.need == 0);
-        !is_ahead || now >= self.arrived + PREFETCH_DELAY_MS
+        let is_prefetch = matches!(&self.request, Request::Draw(draw) if draw.need == 0);
+        !is_prefetch || now >= self.arrived + PREFETCH_DELAY_MS
     }
 }
 
-/// What a request is answered with once its write has succeeded.
+/// How a request is answered, after its write if it needs one.
 #[derive(Debug)]
 enum Outcome {
     Reply(Reply),
     Transfer { own_grant: Option<(Tokens, Tokens)>, max: Tokens, need: Tokens, reply: Reply },
 }
 
-/// What is to become of one request in this round.
+/// How one request is handled in the current round.
 enum Decision {
+    /// Answer immediately.
     Answer(Outcome),
+    /// Answer once the next write has succeeded.
     AfterWrite(Outcome),
+    /// Keep the request in the queue.
     Wait,
 }
 
-/// Figures that the owner keeps of itself.
+/// Counters of an owner's store operations and collections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct OwnerCounts {
-    /// Reads of the store.
+    /// Reads of the shard from the store.
     pub loads: u64,
-    /// Writes tried.
+    /// Attempted writes.
     pub writes: u64,
-    /// Writes refused because the shard had changed.
+    /// Writes rejected because the shard had changed.
     pub conflicts: u64,
     /// Collections from other holders.
     pub gathers: u64,
 }
 
-/// The owner of one shard, as far as this daemon is concerned.
+/// This daemon's state as the owner of one shard.
 #[derive(Debug)]
 pub struct Owner {
     me: Incarnation,
@@ -81,23 +85,25 @@
     write_interval: Millis,
     shard: Option<(u64, Shard)>,
     loaded_at: Millis,
-    reload_wanted: bool,
+    needs_reload: bool,
     phase: Phase,
     pending: VecDeque<Pending>,
     in_write: Vec<(Pending, Outcome)>,
-    /// Whether some request of this round can't wait for others.
+    /// Whether a request in the current round requires an immediate write.
     is_write_due: bool,
     written_shard: Shard,
     gathers: Gathers,
-    /// Each write moves this on by one interval; it may run ahead by a burst.
-    writes_paid_until: Millis,
-    store_away_until: Millis,
+    /// Rate limiter of writes: each write advances this time by one interval. A write is
+    /// allowed while it is at most [`WRITE_BURST`] intervals ahead of the clock.
+    write_quota_used_until: Millis,
+    store_retry_at: Millis,
     next_wake: Option<Millis>,
     counts: OwnerCounts,
 }
 
 impl Owner {
-    /// An owner that has read nothing yet; `address` is its peer port.
+    /// Creates an owner that has not read the shard yet; `address` is this daemon's peer
+    /// address, and `write_interval` the mean interval between writes in milliseconds.
     pub fn new(me: Incarnation, address: &str, write_interval: Millis) -> Self {
         Owner {
             me,
@@ -105,48 +111,48 @@
             write_interval,
             shard: None,
             loaded_at: 0,
-            reload_wanted: false,
+            needs_reload: false,
             phase: Phase::Idle,
             pending: VecDeque::new(),
             in_write: Vec::new(),
             is_write_due: false,
             written_shard: Shard::default(),
             gathers: Gathers::default(),
-            writes_paid_until: 0,
-            store_away_until: 0,
+            write_quota_used_until: 0,
+            store_retry_at: 0,
             next_wake: None,
             counts: OwnerCounts::default(),
         }
     }
 
-    /// The same owner without collecting from other holders: a baseline.
+    /// Disables collections from other holders, as a baseline for comparison.
     pub fn without_collecting(mut self) -> Self {
-        self.gathers = Gathers::none();
+        self.gathers = Gathers::disabled();
         self
     }
 
-    /// Figures of this owner.
+    /// Returns the counters of this owner.
     pub fn counts(&self) -> OwnerCounts {
         self.counts
     }
 
-    /// The shard as last read or written.
+    /// Returns the shard as last read or written.
     pub fn shard(&self) -> Option<&Shard> {
         self.versioned_shard().map(|(_, shard)| shard)
     }
 
-    /// The same, with its version.
+    /// Returns the shard as last read or written, with its version.
     pub fn versioned_shard(&self) -> Option<(u64, &Shard)> {
         self.shard.as_ref().map(|(version, shard)| (*version, shard))
     }
 
-    /// Takes in a request that comes together with others: nothing is done
-    /// until the next event, so that one write serves them all.
+    /// Queues a request without handling it. The next event handles all queued requests,
+    /// so that one write serves them all.
     pub fn enqueue(&mut self, now: Millis, ticket: Ticket, request: Request) {
         self.pending.push_back(Pending { ticket, request, arrived: now });
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the commands to execute.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         match event {
@@ -163,9 +169,9 @@
                 self.loaded(now, version, shard);
             }
             Event::Ambiguous => self.write_failed(),
-            Event::StoreUnavailable => self.store_away(now),
+            Event::StoreUnavailable => self.store_unavailable(now),
             Event::Gathered { budget, free, more_expected } => {
-                self.gathers.ended(budget, free, more_expected);
+                self.gathers.finish(budget, free, more_expected);
             }
             Event::Tick => {}
         }
@@ -177,8 +183,8 @@
         self.phase = Phase::Idle;
         self.shard = Some((version, shard));
         self.loaded_at = now;
-        self.reload_wanted = false;
-        self.store_away_until = 0;
+        self.needs_reload = false;
+        self.store_retry_at = 0;
     }
 
     fn written(&mut self, now: Millis, version: u64, commands: &mut Vec<Command>) {
@@ -190,78 +196,78 @@
         }
     }
 
-    /// Whether a write is allowed now; asks to be woken when it is too early.
+    /// Whether the write rate allows a write now; schedules a wake-up if it doesn't.
     fn may_write(&mut self, now: Millis, commands: &mut Vec<Command>) -> bool {
         let burst = WRITE_BURST * self.write_interval;
-        let write_at = self.writes_paid_until.saturating_sub(burst);
+        let write_at = self.write_quota_used_until.saturating_sub(burst);
         if now < write_at {
             self.wake_at(write_at, now, commands);
         }
         now >= write_at
     }
 
-    /// Asks to be woken, unless that is asked for already.
+    /// Schedules a wake-up, unless an earlier one is pending.
     fn wake_at(&mut self, at: Millis, now: Millis, commands: &mut Vec<Command>) {
-        let is_asked = self.next_wake.is_some_and(|wake| now < wake && wake <= at);
-        if !is_asked {
+        let is_scheduled = self.next_wake.is_some_and(|wake| now < wake && wake <= at);
+        if !is_scheduled {
             self.next_wake = Some(at);
             commands.push(Command::WakeAt(at));
         }
     }
 
-    /// The requests of the write go back to the front, in their order; the
-    /// shard is read again, and it tells whether the write took effect.
+    /// Returns the requests of the write to the front of the queue, in their order, and
+    /// requires the shard to be read again, which shows whether the write took effect.
     fn write_failed(&mut self) {
         self.phase = Phase::Idle;
-        self.reload_wanted = true;
-        self.put_back();
+        self.needs_reload = true;
+        self.requeue_written();
     }
 
-    fn store_away(&mut self, now: Millis) {
+    fn store_unavailable(&mut self, now: Millis) {
         self.phase = Phase::Idle;
-        self.store_away_until = now + STORE_RETRY_DELAY_MS;
-        self.put_back();
+        self.store_retry_at = now + STORE_RETRY_DELAY_MS;
+        self.requeue_written();
     }
 
-    fn put_back(&mut self) {
+    fn requeue_written(&mut self) {
         for (pending, _) in std::mem::take(&mut self.in_write).into_iter().rev() {
             self.pending.push_front(pending);
         }
-        // What they were to be given from collections was not given.
-        self.gathers.forget_ended();
+        // The collected tokens assigned to these requests were not transferred.
+        self.gathers.discard_finished();
     }
 
     fn advance(&mut self, now: Millis, commands: &mut Vec<Command>) {
         if self.phase != Phase::Idle {
             return;
         }
-        self.drop_old(now, commands);
+        self.drop_expired(now, commands);
         if self.pending.is_empty() {
             return;
         }
-        let store_is_away = now < self.store_away_until;
-        let must_load = self.shard.is_none() || self.reload_wanted;
-        if must_load && !store_is_away {
+        let is_store_unavailable = now < self.store_retry_at;
+        let must_load = self.shard.is_none() || self.needs_reload;
+        if must_load && !is_store_unavailable {
             self.phase = Phase::Loading;
             self.counts.loads += 1;
             commands.push(Command::Load);
             return;
         }
-        if store_is_away {
+        if is_store_unavailable {
             self.serve_without_store(now, commands);
         } else {
             self.serve(now, commands);
         }
     }
 
-    fn drop_old(&mut self, now: Millis, commands: &mut Vec<Command>) {
-        let away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
+    fn drop_expired(&mut self, now: Millis, commands: &mut Vec<Command>) {
+        let unavailable = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
         self.pending.retain(|pending| {
-            let is_old = now > pending.arrived + MAX_REQUEST_AGE_MS;
-            if is_old {
-                commands.push(Command::Reply(pending.ticket, away));
+            let is_expired = now > pending.arrived + MAX_REQUEST_AGE_MS;
+            if is_expired {
+                commands.push(Command::Reply(pending.ticket, unavailable));
             }
-            !is_old
+            !is_expired
         });
     }
 
@@ -281,21 +287,21 @@
         self.pending = waiting;
         if to_write.is_empty() {
             self.shard = Some((version, shard));
-            self.load_if_wanted(now, commands);
+            self.load_if_needed(now, commands);
             return;
         }
         let next = draft.finish();
         self.shard = Some((version, shard));
         self.phase = Phase::Writing;
         self.counts.writes += 1;
-        self.writes_paid_until = self.writes_paid_until.max(now) + self.write_interval;
+        self.write_quota_used_until = self.write_quota_used_until.max(now) + self.write_interval;
         self.in_write = to_write;
         self.written_shard = next.clone();
         commands.push(Command::Write(version, next));
     }
 
-    fn load_if_wanted(&mut self, now: Millis, commands: &mut Vec<Command>) {
-        if self.reload_wanted && now >= self.store_away_until {
+    fn load_if_needed(&mut self, now: Millis, commands: &mut Vec<Command>) {
+        if self.needs_reload && now >= self.store_retry_at {
             self.phase = Phase::Loading;
             self.counts.loads += 1;
             commands.push(Command::Load);
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -1,4 +1,4 @@
-//! What becomes of a draw while the store is there.
+//! Handling of draws while the store is available.
 
 use crate::holder::Draw;
 use crate::owner::draft::{Draft, grant_and_open, granted_reply, holders_of};
@@ -10,8 +10,8 @@
 use crate::{Millis, Name, Tokens};
 
 impl Owner {
-    /// Grants a draw what the store has, else what other holders have free, else
-    /// refuses it.
+    /// Serves a draw from the store's available tokens, or else from the free tokens of
+    /// other holders, or else refuses it.
     pub(super) fn decide_draw(
         &mut self,
         now: Millis,
@@ -27,21 +27,21 @@
             return Decision::Answer(Outcome::Reply(Reply::Short { retry_after_ms }));
         }
         ledger.update_row(draw.terms.tokens, draw.terms.version);
-        if self.waits_for_others(now, pending, draw, commands) {
+        if self.must_wait_for_others(now, pending, draw, commands) {
             return Decision::Wait;
         }
-        let gives_back = ledger.record_return(draw.holder, draw.returned);
-        if gives_back && draw.want == 0 {
+        let is_new_return = ledger.record_return(draw.holder, draw.returned);
+        if is_new_return && draw.want == 0 {
             if !self.may_write(now, commands) {
                 return Decision::Wait;
             }
             return Decision::AfterWrite(Outcome::Reply(granted_reply(ledger, draw, false)));
         }
-        // What was opened but not told is told again, without a write.
+        // Opened tokens that the holder does not know of are reported without a write.
         let opened = ledger.opened_by(draw.holder);
         let undelivered = opened.saturating_sub(draw.opened);
-        let is_ahead = draw.need == 0;
-        if undelivered >= draw.need && !(is_ahead && undelivered == 0) {
+        let is_prefetch = draw.need == 0;
+        if undelivered >= draw.need && !(is_prefetch && undelivered == 0) {
             let outcome = Outcome::Reply(granted_reply(ledger, draw, false));
             let in_this_write = stored != (ledger.granted_to(draw.holder), opened);
             return if in_this_write {
@@ -54,7 +54,7 @@
         let opened = opened.max(draw.opened);
         let sealed = ledger.granted_to(draw.holder).saturating_sub(opened);
         let left = ledger.available() + sealed;
-        if is_ahead && left == 0 {
+        if is_prefetch && left == 0 {
             return Decision::Answer(Outcome::Reply(granted_reply(ledger, draw, false)));
         }
         if left >= need {
@@ -63,7 +63,7 @@
         self.collect(now, pending, draw, ledger, need, commands)
     }
 
-    /// Grants what the store has left, or the holder sealed.
+    /// Serves a draw from the available tokens and the sealed part of the holder's grant.
     fn grant(
         &mut self,
         now: Millis,
@@ -77,16 +77,16 @@
             return Decision::Wait;
         }
         if !draw.witnesses.is_empty() && ledger.is_full_for(draw.holder) {
-            // The owner takes the grant and sends the tokens on.
+            // The grant is recorded for this owner, which transfers the tokens.
             let amount = draw.terms.amount(draw.want, ledger.available()).max(need);
-            let own_grant = Some(self.grant_to_me(ledger, amount));
+            let own_grant = Some(self.grant_to_owner(ledger, amount));
             let reply = granted_reply(ledger, draw, false);
             return Decision::AfterWrite(Outcome::Transfer { own_grant, max: amount, need, reply });
         }
         if draw.witnesses.is_empty() && draw.holder == self.me {
-            // Only the later start's own draw: one that was handed on may be
-            // of the earlier start, and late. With witnesses, what an earlier
-            // start never opened is taken back instead.
+            // Applies only to a draw of this daemon itself: a forwarded draw may be a
+            // delayed one of the earlier incarnation. With witnesses, the tokens that an
+            // earlier incarnation never opened are reclaimed instead.
             ledger.retire_earlier_incarnations(draw.holder, &draw.address);
         } else if let Some(earlier) = draw.ends
             && draw.witnesses.is_empty()
@@ -97,7 +97,7 @@
         Decision::AfterWrite(Outcome::Reply(granted_reply(ledger, draw, true)))
     }
 
-    /// Gives what other holders have free, together with what the store has left.
+    /// Serves a draw from the free tokens of other holders and the store's available ones.
     fn collect(
         &mut self,
         now: Millis,
@@ -108,19 +108,20 @@
         commands: &mut Vec<Command>,
     ) -> Decision {
         if self.loaded_at < pending.arrived && now >= self.loaded_at + MAX_SHARD_AGE_MS {
-            self.reload_wanted = true;
+            self.needs_reload = true;
             return Decision::Wait;
         }
         let me = self.me;
         let holders = || holders_of(ledger, me);
-        let Some(gather) = self.gathered(now, pending, &draw.budget, holders, commands) else {
+        let Some(gather) = self.collection_for(now, pending, &draw.budget, holders, commands)
+        else {
             return Decision::Wait;
         };
-        // The collection took what the holder had free: it is given back too.
+        // The collection has also taken the holder's own free tokens, so they are added.
         let need = need + draw.free;
         let available = ledger.available();
         if available + gather.free < need {
-            return Decision::Answer(Outcome::Reply(short(gather)));
+            return Decision::Answer(Outcome::Reply(short_reply(gather)));
         }
         if available == 0 {
             let max = self.gathers.take(draw, need);
@@ -130,15 +131,16 @@
         if !self.may_write(now, commands) {
             return Decision::Wait;
         }
-        // What the store has left goes by way of the owner, all in one piece.
-        let own_grant = Some(self.grant_to_me(ledger, available));
+        // The store's available tokens are granted to this owner, so that all tokens go to
+        // the holder in one transfer.
+        let own_grant = Some(self.grant_to_owner(ledger, available));
         let max = self.gathers.take(draw, need.saturating_sub(available)) + available;
         let reply = granted_reply(ledger, draw, false);
         Decision::AfterWrite(Outcome::Transfer { own_grant, max, need, reply })
     }
 
-    /// Whether a draw ahead is to wait for others; asks to be woken at its end.
-    fn waits_for_others(
+    /// Whether a prefetching draw has to wait for others; schedules a wake-up if it does.
+    fn must_wait_for_others(
         &mut self,
         now: Millis,
         pending: &Pending,
@@ -155,15 +157,17 @@
         now < until
     }
 
-    /// Grants this daemon tokens that it will send on: they are open at once.
-    fn grant_to_me(&self, ledger: &mut Ledger, tokens: Tokens) -> (Tokens, Tokens) {
+    /// Grants and opens tokens for this daemon to transfer. Returns its cumulative granted
+    /// and opened tokens.
+    fn grant_to_owner(&self, ledger: &mut Ledger, tokens: Tokens) -> (Tokens, Tokens) {
         ledger.grant(self.me, &self.address, tokens);
         ledger.open(self.me, Tokens::MAX);
         (ledger.granted_to(self.me), ledger.opened_by(self.me))
     }
 
-    /// The collection that this request may rely on; starts one when needed.
-    pub(super) fn gathered(
+    /// Returns the result of a recent collection; if there is none, starts one unless one
+    /// is running.
+    pub(super) fn collection_for(
         &mut self,
         now: Millis,
         pending: &Pending,
@@ -172,7 +176,7 @@
         commands: &mut Vec<Command>,
     ) -> Option<Gather> {
         match self.gathers.for_request(now, pending.arrived, budget, holders) {
-            Lookup::Ended(gather) => Some(gather),
+            Lookup::Finished(gather) => Some(gather),
             Lookup::Running => None,
             Lookup::Start(holders) => {
                 self.counts.gathers += 1;
@@ -183,7 +187,7 @@
     }
 }
 
-fn short(gather: Gather) -> Reply {
+fn short_reply(gather: Gather) -> Reply {
     let retry_after_ms = if gather.more_expected { RETRY_SOON_MS } else { RETRY_LATER_MS };
     Reply::Short { retry_after_ms }
 }
--- a/crates/core/src/owner/machine/without_store.rs
+++ b/crates/core/src/owner/machine/without_store.rs
@@ -1,5 +1,5 @@
-//! What becomes of requests while the store is away: what holders have free can
-//! still be moved, nothing can be granted.
+//! Handling of requests while the store is unavailable: free tokens can still be
+//! transferred between holders, but nothing can be granted.
 
 use std::collections::VecDeque;
 
@@ -10,6 +10,7 @@
 use crate::owner::message::{Command, Reply};
 
 impl Owner {
+    /// Handles all queued requests without reading or writing the shard.
     pub(super) fn serve_without_store(&mut self, now: Millis, commands: &mut Vec<Command>) {
         let mut waiting = VecDeque::new();
         for pending in std::mem::take(&mut self.pending) {
@@ -29,22 +30,22 @@
         pending: &Pending,
         commands: &mut Vec<Command>,
     ) -> Decision {
-        let away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
-        let Some(draw) = pending.request.draw_now() else {
-            return Decision::Answer(Outcome::Reply(away));
+        let unavailable = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
+        let Some(draw) = pending.request.urgent_draw() else {
+            return Decision::Answer(Outcome::Reply(unavailable));
         };
         let shard = self.shard.take();
         let ledger = shard.as_ref().and_then(|(_, shard)| shard.budgets.get(&draw.budget));
         let me = self.me;
         let holders = || ledger.map(|ledger| holders_of(ledger, me)).unwrap_or_default();
-        let gather = self.gathered(now, pending, &draw.budget, holders, commands);
+        let gather = self.collection_for(now, pending, &draw.budget, holders, commands);
         self.shard = shard;
         let Some(gather) = gather else {
             return Decision::Wait;
         };
         let need = draw.need + draw.free;
         if gather.free < need {
-            return Decision::Answer(Outcome::Reply(away));
+            return Decision::Answer(Outcome::Reply(unavailable));
         }
         let max = self.gathers.take(draw, need);
         let (granted, opened) = (draw.known_granted, draw.opened);
--- a/crates/core/src/owner/message.rs
+++ b/crates/core/src/owner/message.rs
@@ -1,4 +1,4 @@
-//! What an owner is asked and told, answers, and wants done.
+//! Requests, replies, events and commands of an owner.
 
 use std::sync::Arc;
 
@@ -9,55 +9,56 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// Names a caller of the owner; chosen by the shell.
+/// Identifies a pending request; chosen by the code that runs the owner.
 pub type Ticket = u64;
 
-/// What can be asked of an owner.
+/// A request to an owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// More tokens for a holder.
+    /// Grants a holder more tokens.
     Draw(Draw),
-    /// More tokens for a budget.
+    /// Adds tokens to a budget.
     TopUp {
         /// The budget.
         budget: Name,
-        /// Identity that the operator's client gave it.
+        /// Unique ID assigned by the operator's client.
         id: String,
         /// Tokens to add.
         tokens: Tokens,
     },
-    /// A holder stops for good.
+    /// Ends a holder that stops permanently.
     Retire {
         /// The budget.
         budget: Name,
-        /// Who stops.
+        /// The holder that stops.
         holder: Incarnation,
-        /// What it keeps of its grant.
+        /// Tokens of its grant that count as used; negative when it returns more than its
+        /// grant.
         kept: i64,
     },
-    /// What a silent holder never opened is taken back.
+    /// Takes back the tokens that an unresponsive holder never opened.
     Reclaim {
         /// The budget.
         budget: Name,
-        /// Whose grant it is.
+        /// The holder of the grant.
         holder: Incarnation,
-        /// A witness of the holder, which has closed it.
+        /// A witness of the holder that attests no further openings by it.
         witness: Incarnation,
-        /// What the holder had opened by that witness's word.
+        /// Cumulative tokens that the holder had opened according to that witness.
         opened: Tokens,
     },
 }
 
 impl Request {
-    /// The draw, when somebody waits for it.
-    pub(super) fn draw_now(&self) -> Option<&Draw> {
+    /// Returns the draw if its holder needs the tokens now.
+    pub(super) fn urgent_draw(&self) -> Option<&Draw> {
         match self {
             Request::Draw(draw) if draw.need > 0 => Some(draw),
             _ => None,
         }
     }
 
-    /// The budget that it is about.
+    /// Returns the budget that the request concerns.
     pub fn budget(&self) -> &Name {
         match self {
             Request::Draw(draw) => &draw.budget,
@@ -68,103 +69,104 @@
     }
 }
 
-/// What an owner answers.
+/// An owner's reply to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The holder's cumulative grant; it covers the need.
+    /// The draw is granted; the cumulative grant covers its need.
     Granted {
         /// Cumulative tokens granted by the store.
         granted: Tokens,
         /// Cumulative tokens of the grant that may be spent.
         opened: Tokens,
-        /// Whether the store has recorded the witnesses that the draw names.
+        /// Whether the store has recorded the witnesses named by the draw.
         recorded: bool,
-        /// The budget as the ledger has it; none when the owner does not know.
+        /// State of the whole budget according to the ledger; `None` when it is unknown.
         outlook: Option<Outlook>,
-        /// Another start at the holder's address that the ledger names: an earlier one,
-        /// since the address is held for life.
+        /// Another incarnation recorded at the holder's address. It is an earlier one, since
+        /// a process keeps its address for its whole lifetime.
         earlier_start: Option<Incarnation>,
     },
-    /// Too little is left, also after collecting.
+    /// Not enough tokens are left, even after a collection.
     Short {
-        /// When it is worth asking again.
+        /// Delay in milliseconds before the request is worth retrying.
         retry_after_ms: Millis,
     },
     /// The request is recorded.
     Recorded,
-    /// The store does not answer; nothing is known to be recorded.
+    /// The store is unavailable; it is unknown whether anything was recorded.
     StoreAway {
-        /// When it is worth asking again.
+        /// Delay in milliseconds before the request is worth retrying.
         retry_after_ms: Millis,
     },
 }
 
-/// What happens to an owner.
+/// An input of an owner.
 #[derive(Debug, Clone, PartialEq)]
 #[expect(clippy::large_enum_variant, reason = "made once a call and moved twice")]
 pub enum Event {
-    /// Somebody asks.
+    /// A request was received.
     Requested(Ticket, Request),
-    /// The shard was read; version 0 means that there is none yet.
+    /// The shard was read; version 0 means that it does not exist yet.
     Loaded(u64, Shard),
-    /// The write succeeded and made this version.
+    /// The write succeeded and created this version.
     Written(u64),
-    /// The write was refused: the shard has changed.
+    /// The write was rejected because the shard had changed.
     Conflict,
-    /// The write was refused, and this is the shard that stands in its way.
+    /// The write was rejected because of this newer version of the shard.
     Superseded(u64, Shard),
-    /// It is not known whether the write took effect.
+    /// It is unknown whether the write took effect.
     Ambiguous,
-    /// The store does not answer; a write did not take effect.
+    /// The store is unavailable; a pending write did not take effect.
     StoreUnavailable,
-    /// A collection ended.
+    /// A collection has finished.
     Gathered {
-        /// The budget collected for.
+        /// The budget whose tokens were collected.
         budget: Name,
-        /// What this daemon now has free.
+        /// Free tokens that this daemon now holds.
         free: Tokens,
-        /// Whether more may come: tokens reserved elsewhere, or silent holders.
+        /// Whether a later collection may return more: some tokens are reserved elsewhere,
+        /// or some holders did not respond.
         more_expected: bool,
     },
-    /// A time asked for by [`Command::WakeAt`] has come.
+    /// The time given in a [`Command::WakeAt`] has been reached.
     Tick,
 }
 
-/// A holder as the ledger has it.
+/// A holder as recorded in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderRef {
     /// The holder.
     pub incarnation: Incarnation,
-    /// Its peer port.
+    /// Its peer address.
     pub address: Arc<str>,
     /// Its witnesses.
     pub witnesses: Vec<Witness>,
 }
 
-/// What an owner wants done.
+/// An action that the caller of the owner has to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Read the shard.
     Load,
     /// Write the shard if it is still at this version.
     Write(u64, Shard),
-    /// Ask these holders, and any others that may hold tokens, for all they
-    /// have free of the budget; also the one that draws.
+    /// Collect all free tokens of the budget from these holders and from any others that
+    /// may hold some, including the one that draws.
     Gather(Name, Vec<HolderRef>),
-    /// Answer.
+    /// Answer the request.
     Reply(Ticket, Reply),
-    /// Send tokens that this daemon holds, and answer with the grant as well.
+    /// Transfer tokens that this daemon holds to the drawing holder, together with the reply.
     Transfer {
-        /// This daemon's own cumulative grant and what is open of it, when the
-        /// write has raised them.
+        /// Cumulative granted and opened tokens of this daemon itself, if the write has
+        /// increased them.
         own_grant: Option<(Tokens, Tokens)>,
-        /// Whom to answer.
+        /// The request to answer.
         ticket: Ticket,
-        /// The draw that is served; `need` is what has to be sent.
+        /// The draw that is served; its `need` is the minimum to transfer.
         draw: Box<Draw>,
-        /// Tokens that would do as well, at most.
+        /// Maximum number of tokens to transfer.
         max: Tokens,
-        /// The answer when they are sent.
+        /// The reply if the transfer succeeds.
         reply: Reply,
     },
     /// Send [`Event::Tick`] at this time.
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -1,10 +1,10 @@
-//! The request log: claims and bills, in an order that everybody agrees on.
+//! The request log: claims and bills in a total order.
 //!
-//! Each log shard is a row of stored segments, numbered from 0 and created
-//! only if absent, so the store alone decides the order. The first claim of a
-//! request wins; the first bill of a request counts. What an entry came to is
-//! read off the log itself, so a lost answer is settled by reading on. Any
-//! daemon may append; the owner of a shard only batches.
+//! Each log shard is a sequence of stored segments, numbered from 0 and created
+//! only if absent, so that the store alone determines the order. The first claim of a
+//! request wins, and the first bill of a request counts. The outcome of an entry follows
+//! from the log's contents, so an append whose reply was lost is resolved by reading the
+//! next segments. Any daemon may append; the owner of a shard only batches.
 
 mod message;
 
@@ -14,24 +14,24 @@
 
 use crate::{AttemptId, Millis, RequestHash};
 
-/// Number of log shards. Fixed by the store's write rate: 16 shards at 10
-/// writes a second are 160 writes a second.
+/// Number of log shards. Limited by the store's write rate: 16 shards at 10 writes per
+/// second make 160 writes per second.
 pub const LOG_SHARDS: u32 = 16;
 
-/// Shortest time between two appends to one shard, in milliseconds.
+/// Minimum interval between two appends to one shard, in milliseconds.
 pub const APPEND_INTERVAL_MS: Millis = 100;
 
-/// How long a request is remembered, in milliseconds: a key that comes again
-/// later than this counts as a new request.
+/// How long requests are tracked for deduplication, in milliseconds. A key that is reused
+/// after this time counts as a new request.
 pub const DEDUP_WINDOW_MS: Millis = 10 * 60 * 1000;
 
-/// Most entries of one segment; keeps a segment well below a megabyte.
+/// Maximum number of entries in one segment; keeps a segment well below one megabyte.
 pub const MAX_SEGMENT_ENTRIES: usize = 2_000;
 
-/// How long the store is left alone after it was away.
+/// Delay in milliseconds before the next store operation after a failure of the store.
 pub const STORE_RETRY_DELAY_MS: Millis = 300;
 
-/// Names a caller of the log; chosen by the shell.
+/// Identifies a submitted entry; chosen by the code that runs the log.
 pub type Ticket = u64;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -48,34 +48,36 @@
     Ready,
 }
 
-/// Where the reading stands.
+/// Position up to which the log has been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Position {
-    /// Nothing is known.
+    /// Nothing has been read.
     Start,
-    /// Everything before `next` was read; `sure` when `next` was absent.
-    At { next: u64, sure: bool },
+    /// `next` is the number of the next segment to read; with `is_end` it did not exist
+    /// when last checked, and is the next one to append.
+    At { next: u64, is_end: bool },
 }
 
-/// One log shard, as far as this daemon is concerned.
+/// This daemon's state of one log shard.
 #[derive(Debug)]
 pub struct RequestLog {
     append_interval: Millis,
     phase: Phase,
     position: Position,
     states: HashMap<RequestHash, RequestState>,
-    /// Segments within the window: number, time, requests.
+    /// Segments within the deduplication window: number, time of writing, requests.
     window: VecDeque<(u64, Millis, Vec<RequestHash>)>,
     pending: VecDeque<(Ticket, Entry)>,
     writing: Option<(u64, Segment)>,
     last_append: Option<Millis>,
-    store_away_until: Millis,
+    store_retry_at: Millis,
     appends: u64,
     reads: u64,
 }
 
 impl RequestLog {
-    /// A log shard of which nothing has been read.
+    /// Creates the state of a log shard that has not been read yet. `append_interval` is
+    /// the minimum interval between two appends, in milliseconds.
     pub fn new(append_interval: Millis) -> Self {
         RequestLog {
             append_interval,
@@ -86,34 +88,34 @@
             pending: VecDeque::new(),
             writing: None,
             last_append: None,
-            store_away_until: 0,
+            store_retry_at: 0,
             appends: 0,
             reads: 0,
         }
     }
 
-    /// Appends tried so far.
+    /// Returns the number of appends attempted so far.
     pub fn appends(&self) -> u64 {
         self.appends
     }
 
-    /// Segments read so far.
+    /// Returns the number of segment reads requested so far.
     pub fn reads(&self) -> u64 {
         self.reads
     }
 
-    /// Requests remembered.
+    /// Returns the number of requests in the deduplication window.
     pub fn tracked_requests(&self) -> usize {
         self.states.len()
     }
 
-    /// Entries that wait.
+    /// Returns the number of entries without an outcome.
     pub fn pending_entries(&self) -> usize {
         self.pending.len()
     }
 
-    /// Takes one event and says what is to be done. `now` counts milliseconds
-    /// since 1970, since it is written into segments.
+    /// Handles one event and returns the commands to execute. `now` is in milliseconds
+    /// since 1970, because it is written into segments.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         match event {
@@ -125,7 +127,7 @@
             Event::StoreUnavailable => {
                 self.phase = Phase::Ready;
                 self.writing = None;
-                self.store_away_until = now + STORE_RETRY_DELAY_MS;
+                self.store_retry_at = now + STORE_RETRY_DELAY_MS;
             }
             Event::Tick => {}
         }
@@ -135,42 +137,42 @@
 
     fn newest(&mut self, newest: Option<u64>) {
         self.phase = Phase::Ready;
-        // The newest segment tells where the window begins; read it first.
+        // The newest segment is read first, because it states where the window begins.
         self.position = match newest {
-            None => Position::At { next: 0, sure: false },
-            Some(number) => Position::At { next: number, sure: false },
+            None => Position::At { next: 0, is_end: false },
+            Some(number) => Position::At { next: number, is_end: false },
         };
     }
 
     fn segment_read(&mut self, now: Millis, number: u64, segment: Option<Segment>) {
         self.phase = Phase::Ready;
         let Some(segment) = segment else {
-            self.position = Position::At { next: number, sure: true };
+            self.position = Position::At { next: number, is_end: true };
             return;
         };
         let opens_window = self.window.is_empty() && segment.window_start < number;
         if opens_window {
-            self.position = Position::At { next: segment.window_start, sure: false };
-            // An empty mark keeps the window from being opened twice.
+            self.position = Position::At { next: segment.window_start, is_end: false };
+            // An empty placeholder prevents a second jump to the start of the window.
             self.window.push_back((segment.window_start, segment.at, Vec::new()));
             return;
         }
         self.apply(now, number, &segment);
-        self.position = Position::At { next: number + 1, sure: false };
+        self.position = Position::At { next: number + 1, is_end: false };
     }
 
     fn appended(&mut self, now: Millis) {
         self.phase = Phase::Ready;
         if let Some((number, segment)) = self.writing.take() {
             self.apply(now, number, &segment);
-            self.position = Position::At { next: number + 1, sure: true };
+            self.position = Position::At { next: number + 1, is_end: true };
         }
     }
 
     fn append_failed(&mut self) {
         self.phase = Phase::Ready;
         if let Some((number, _)) = self.writing.take() {
-            self.position = Position::At { next: number, sure: false };
+            self.position = Position::At { next: number, is_end: false };
         }
     }
 
@@ -195,10 +197,10 @@
             }
         }
         self.window.push_back((number, segment.at, requests));
-        self.forget(now);
+        self.drop_expired(now);
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn drop_expired(&mut self, now: Millis) {
         while let Some((number, at, _)) = self.window.front() {
             if at.saturating_add(DEDUP_WINDOW_MS) > now {
                 return;
@@ -206,8 +208,9 @@
             let number = *number;
             let Some((_, _, requests)) = self.window.pop_front() else { return };
             for request in requests {
-                let old = self.states.get(&request).is_some_and(|s| s.last_segment <= number);
-                if old {
+                let is_expired =
+                    self.states.get(&request).is_some_and(|s| s.last_segment <= number);
+                if is_expired {
                     self.states.remove(&request);
                 }
             }
@@ -218,30 +221,30 @@
         if self.phase == Phase::Busy || self.pending.is_empty() {
             return;
         }
-        if now < self.store_away_until {
-            self.answer_known(commands);
+        if now < self.store_retry_at {
+            self.answer_decided(commands);
             for (ticket, _) in std::mem::take(&mut self.pending) {
                 commands.push(Command::Answer(ticket, Outcome::StoreAway));
             }
             return;
         }
         match self.position {
-            Position::Start => self.busy(Command::FindNewest, commands),
-            Position::At { next, sure: false } => {
+            Position::Start => self.start(Command::FindNewest, commands),
+            Position::At { next, is_end: false } => {
                 self.reads += 1;
-                self.busy(Command::Read(next), commands);
+                self.start(Command::Read(next), commands);
             }
-            Position::At { next, sure: true } => self.append(now, next, commands),
+            Position::At { next, is_end: true } => self.append(now, next, commands),
         }
     }
 
-    fn busy(&mut self, command: Command, commands: &mut Vec<Command>) {
+    fn start(&mut self, command: Command, commands: &mut Vec<Command>) {
         self.phase = Phase::Busy;
         commands.push(command);
     }
 
     fn append(&mut self, now: Millis, next: u64, commands: &mut Vec<Command>) {
-        self.answer_known(commands);
+        self.answer_decided(commands);
         if self.pending.is_empty() {
             return;
         }
@@ -256,11 +259,11 @@
         let window_start = self.window.front().map_or(next, |(number, _, _)| *number);
         let segment = Segment { at: now, window_start, entries };
         self.writing = Some((next, segment.clone()));
-        self.busy(Command::Append(next, segment), commands);
+        self.start(Command::Append(next, segment), commands);
     }
 
-    /// Pending entries for one segment, at most one of each request: what the
-    /// first one comes to decides the others.
+    /// Returns the pending entries for one segment, at most one per request, because the
+    /// outcome of the first one determines the others.
     fn next_batch(&self) -> Vec<Entry> {
         let mut requests = HashSet::new();
         let entries = self.pending.iter().map(|(_, entry)| entry);
@@ -268,8 +271,8 @@
         first_ones.take(MAX_SEGMENT_ENTRIES).cloned().collect()
     }
 
-    /// Answers every pending entry whose outcome the log already shows.
-    fn answer_known(&mut self, commands: &mut Vec<Command>) {
+    /// Answers every pending entry whose outcome is already determined by the log.
+    fn answer_decided(&mut self, commands: &mut Vec<Command>) {
         let states = &self.states;
         self.pending.retain(|(ticket, entry)| {
             let state = states.get(&entry.request()).copied().unwrap_or_default();
@@ -282,7 +285,7 @@
     }
 }
 
-/// What the log says of an entry; none when the log does not hold it yet.
+/// Returns the outcome of an entry according to the log, or `None` if it is still open.
 fn outcome_of(entry: &Entry, state: RequestState) -> Option<Outcome> {
     match entry {
         Entry::Claim { attempt, .. } => {
--- a/crates/core/src/request_log/message.rs
+++ b/crates/core/src/request_log/message.rs
@@ -1,4 +1,4 @@
-//! What the request log is told, answers, and wants done.
+//! Entries, outcomes, events and commands of the request log.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,29 +6,29 @@
 use crate::request_log::{LOG_SHARDS, Ticket};
 use crate::{AttemptId, Millis, RequestHash};
 
-/// One line of the log.
+/// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An attempt wants to be the only one to run a request.
+    /// An attempt claims the exclusive right to run a request.
     Claim {
         /// The request.
         request: RequestHash,
         /// The attempt that claims it.
         attempt: AttemptId,
     },
-    /// The attempt gave its claim up; it has not run and never will.
+    /// The attempt releases its claim; it has not run the request and never will.
     Release {
         /// The request.
         request: RequestHash,
         /// The attempt that had claimed it.
         attempt: AttemptId,
     },
-    /// A request ran and cost this.
+    /// The request has run and has this cost.
     Bill(Bill),
 }
 
 impl Entry {
-    /// The request that the entry is about.
+    /// Returns the request that the entry concerns.
     pub fn request(&self) -> RequestHash {
         match self {
             Entry::Claim { request, .. } | Entry::Release { request, .. } => *request,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The log shard that the entry belongs to.
+    /// Returns the log shard that the entry belongs to.
     pub fn shard(&self) -> u32 {
         self.request().shard(LOG_SHARDS)
     }
@@ -45,68 +45,68 @@
 /// One stored object of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// When it was written, in milliseconds since 1970 by its writer's clock.
+    /// Time of writing by the writer's clock, in milliseconds since 1970.
     pub at: Millis,
-    /// The oldest segment that was still within the window.
+    /// Number of the oldest segment that was within the deduplication window at that time.
     pub window_start: u64,
-    /// The lines.
+    /// The entries.
     pub entries: Vec<Entry>,
 }
 
-/// What an entry came to.
+/// The outcome of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The attempt alone may run the request.
+    /// The attempt holds the claim, and it alone may run the request.
     ClaimWon,
-    /// Another attempt may run it, or has.
+    /// Another attempt holds the claim and may have run the request.
     ClaimLost {
         /// The attempt that holds the claim.
         by: AttemptId,
-        /// Whether the request is billed already.
+        /// Whether the request has already been billed.
         billed: bool,
     },
-    /// The claim is given up.
+    /// The claim has been released.
     Released,
-    /// The request is billed; `first` tells whether by this bill.
+    /// The request has been billed, by this bill or by another one.
     Billed {
         /// Whether this bill is the one that counts.
         first: bool,
     },
-    /// The store does not answer; the entry may or may not be in the log.
+    /// The store is unavailable; the entry may or may not be in the log.
     StoreAway,
 }
 
-/// What happens to a log shard.
+/// An input of a log shard.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Somebody wants an entry appended.
+    /// An entry was submitted for appending.
     Submitted(Ticket, Entry),
-    /// The newest segment's number, if there is any.
+    /// The number of the newest segment was read; `None` if there are no segments.
     NewestFound(Option<u64>),
-    /// A segment was read; none means that it does not exist.
+    /// A segment was read; `None` if it does not exist.
     SegmentRead(u64, Option<Segment>),
     /// The append took effect.
     Appended,
-    /// Somebody else has written that segment.
+    /// Another writer has already created that segment.
     Conflict,
-    /// It is not known whether the append took effect.
+    /// It is unknown whether the append took effect.
     Ambiguous,
-    /// The store does not answer; an append did not take effect.
+    /// The store is unavailable; a pending append did not take effect.
     StoreUnavailable,
-    /// A time asked for by [`Command::WakeAt`] has come.
+    /// The time given in a [`Command::WakeAt`] has been reached.
     Tick,
 }
 
-/// What a log shard wants done.
+/// An action that the caller of the log shard has to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Find the newest segment's number.
+    /// Find the number of the newest segment.
     FindNewest,
     /// Read this segment.
     Read(u64),
     /// Create this segment if it is absent.
     Append(u64, Segment),
-    /// Answer.
+    /// Report the outcome of a submitted entry.
     Answer(Ticket, Outcome),
     /// Send [`Event::Tick`] at this time.
     WakeAt(Millis),
