--- a/crates/core/tests/budget_properties.rs
+++ b/crates/core/tests/budget_properties.rs
@@ -64,8 +64,8 @@
                         world.settle(holder, reservation, used);
                     }
                 }
-                Step::StoreAway(away) => world.store_away = away,
-                Step::LoseAnswer => world.lose_next_answer = true,
+                Step::StoreAway(away) => world.store_unavailable = away,
+                Step::LoseAnswer => world.lose_next_reply = true,
                 Step::TopUp { owner, id } => world.top_up(owner, &format!("t-{id}"), 100),
                 Step::Wait(millis) => world.now += millis,
                 Step::Kill(daemon) => world.dead[daemon] = true,
--- a/crates/core/tests/common/direct.rs
+++ b/crates/core/tests/common/direct.rs
@@ -1,4 +1,5 @@
-//! Daemons that write the shard of one budget by themselves, before a store in memory.
+//! A simulation of daemons that write the shard of one budget themselves, with an
+//! in-memory store.
 
 use bankcove_core::holder::{Draw, Holder, Reservation, Terms};
 use bankcove_core::owner::{Command, Event, Owner, Reply, Request};
@@ -7,19 +8,23 @@
 
 use super::budget;
 
-/// Writes that are refused in a row before the store takes one.
-const TRIES: u32 = 50;
+/// Maximum number of commands executed for one request.
+const MAX_COMMANDS: u32 = 50;
 
-/// What becomes of the next call of the store.
+/// A fault injected into the next store call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
+    /// The call succeeds.
     None,
+    /// The write takes effect, but the caller gets an ambiguous result.
     ReplyLost,
+    /// The write does not take effect, and the caller gets an ambiguous result.
     RequestLost,
+    /// The store is unavailable.
     Unavailable,
 }
 
-/// One daemon, and the requests that it has open.
+/// One daemon, and the reservations of its running requests.
 pub struct Daemon {
     owner: Owner,
     pub holder: Holder,
@@ -27,12 +32,13 @@
     busy_until: Millis,
 }
 
-/// Daemons 0 to n-1, and the store.
+/// Daemons 0 to n-1 and the store.
 pub struct World {
     pub now: Millis,
     pub daemons: Vec<Daemon>,
-    /// Whether the time that a call takes passes for all, or calls run side by side.
-    pub calls_take_time: bool,
+    /// Whether the duration of a call advances the shared clock; otherwise calls run
+    /// concurrently.
+    pub calls_advance_clock: bool,
     /// Terms of the budget's row.
     pub terms: Terms,
     stored: (u64, Shard),
@@ -40,10 +46,11 @@
 }
 
 impl World {
-    /// As many daemons as `terms` say, that hold nothing yet.
+    /// Creates as many daemons as `terms` specify; they hold no tokens yet.
     pub fn new(terms: Terms) -> Self {
         let (stored, daemons) = ((0, Shard::default()), Vec::new());
-        let mut world = World { now: 0, daemons, calls_take_time: true, terms, stored, starts: 0 };
+        let mut world =
+            World { now: 0, daemons, calls_advance_clock: true, terms, stored, starts: 0 };
         for n in 0..terms.daemons as usize {
             let daemon = world.start(n);
             world.daemons.push(daemon);
@@ -51,12 +58,12 @@
         world
     }
 
-    /// The budget as the store has it.
+    /// Returns the budget's ledger in the store.
     pub fn ledger(&self) -> &Ledger {
         &self.stored.1.budgets[&budget()]
     }
 
-    /// Ends a daemon without notice and starts it anew; returns what it had open.
+    /// Kills a daemon and starts it again. Returns its open reservations.
     pub fn restart(&mut self, n: usize) -> Vec<Reservation> {
         let next = self.start(n);
         std::mem::replace(&mut self.daemons[n], next).open
@@ -69,17 +76,18 @@
         Daemon { owner, holder: Holder::new(incarnation), open: Vec::new(), busy_until: 0 }
     }
 
-    /// Asks daemon `n` as the owner; `fault` is that of the first write.
-    pub fn ask(&mut self, n: usize, request: Request, fault: StoreFault) -> Reply {
+    /// Sends a request to daemon `n` as the owner and returns its reply. `fault` applies
+    /// to the first write; [`StoreFault::Unavailable`] also applies to reads before it.
+    pub fn request(&mut self, n: usize, request: Request, fault: StoreFault) -> Reply {
         let mut at = self.now.max(self.daemons[n].busy_until);
         let mut commands = self.daemons[n].owner.handle(at, Event::Requested(1, request));
         let mut fault = Some(fault);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_COMMANDS {
             let Some(command) = commands.pop() else { break };
             let event = match command {
                 Command::Reply(_, reply) => {
                     self.daemons[n].busy_until = at;
-                    self.now = if self.calls_take_time { at } else { self.now };
+                    self.now = if self.calls_advance_clock { at } else { self.now };
                     return reply;
                 }
                 Command::Load if fault == Some(StoreFault::Unavailable) => Event::StoreUnavailable,
@@ -89,12 +97,12 @@
                     at = at.max(wake_at);
                     Event::Tick
                 }
-                other => panic!("not asked of a daemon that writes by itself: {other:?}"),
+                other => panic!("unexpected command without collections: {other:?}"),
             };
             at += 5;
             commands.extend(self.daemons[n].owner.handle(at, event));
         }
-        panic!("no answer");
+        panic!("no reply after {MAX_COMMANDS} commands");
     }
 
     fn write(&mut self, version: u64, shard: Shard, fault: Option<StoreFault>) -> Event {
@@ -114,16 +122,22 @@
         }
     }
 
-    /// Daemon `n` draws what lets it reserve `need` more.
+    /// Lets daemon `n` draw `need` tokens through itself as the owner.
     pub fn draw(&mut self, n: usize, need: Tokens, fault: StoreFault) {
-        self.draw_by(n, n, need, fault);
+        self.draw_through(n, n, need, fault);
     }
 
-    /// Daemon `n` draws by way of daemon `owner`; returns the draw.
-    pub fn draw_by(&mut self, n: usize, owner: usize, need: Tokens, fault: StoreFault) -> Draw {
+    /// Lets daemon `n` draw `need` tokens through daemon `owner`. Returns the draw.
+    pub fn draw_through(
+        &mut self,
+        n: usize,
+        owner: usize,
+        need: Tokens,
+        fault: StoreFault,
+    ) -> Draw {
         let holder = &mut self.daemons[n].holder;
         let draw = holder.draw(&budget(), need, self.terms, &address(n), self.now);
-        let reply = self.ask(owner, Request::Draw(draw.clone()), fault);
+        let reply = self.request(owner, Request::Draw(draw.clone()), fault);
         let holder = &mut self.daemons[n].holder;
         if let Reply::Granted { granted, opened, outlook, earlier_start, .. } = reply {
             outlook.into_iter().for_each(|outlook| holder.known(&budget(), outlook, self.now));
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A store, owners and holders in memory, driven one command at a time.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A simulation of a store, owners and holders in memory, executed one command at a time.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub mod direct;
 
@@ -13,14 +13,14 @@
 
 pub const BUDGET: &str = "main";
 
-/// Longest run of one question, in simulated milliseconds.
+/// Time limit of one request, in simulated milliseconds.
 const REQUEST_TIMEOUT_MS: Millis = 60_000;
 
 pub fn budget() -> Name {
     Name::from(BUDGET)
 }
 
-/// Terms of a row of so many tokens, shared by so many daemons.
+/// Terms of a budget row with `tokens` tokens, shared by `daemons` daemons.
 pub fn terms(tokens: Tokens, daemons: u64) -> Terms {
     Terms {
         tokens,
@@ -34,17 +34,17 @@
     }
 }
 
-/// What became of one question.
+/// Result of one request.
 enum Answer {
     Granted,
     Refused,
 }
 
-/// Daemons 0 to n-1, each a holder and an owner; one shard in the store.
+/// Daemons 0 to n-1, each of them a holder and an owner, and one shard in the store.
 pub struct World {
     pub now: Millis,
-    pub store_away: bool,
-    pub lose_next_answer: bool,
+    pub store_unavailable: bool,
+    pub lose_next_reply: bool,
     pub tokens: Tokens,
     stored: (u64, Shard),
     pub dead: Vec<bool>,
@@ -58,8 +58,8 @@
         let owner = |n| Owner::new(Incarnation(n), "127.0.0.1:1", WRITE_INTERVAL_MS);
         World {
             now: 0,
-            store_away: false,
-            lose_next_answer: false,
+            store_unavailable: false,
+            lose_next_reply: false,
             tokens,
             stored: (0, Shard::default()),
             dead: vec![false; daemons as usize],
@@ -94,7 +94,7 @@
         Draw { witnesses, ..draw }
     }
 
-    /// The next two daemons that live.
+    /// Returns the next two live daemons after `holder`.
     fn witnesses(&self, holder: usize) -> Vec<Witness> {
         let count = self.holders.len();
         let others = (1..count).map(|n| (holder + n) % count).filter(|n| !self.dead[*n]);
@@ -105,37 +105,39 @@
         others.take(2).map(witness).collect()
     }
 
-    /// Opens more of a grant by the witnesses' word.
+    /// Opens `tokens` more of a grant with the approval of all its witnesses. Returns
+    /// whether the tokens were opened.
     pub fn open(&mut self, holder: usize, tokens: Tokens) -> bool {
         let Some(opening) = self.holders[holder].opening(&budget(), tokens, self.now) else {
             return false;
         };
         let me = Incarnation(holder as u64);
-        let agreed = opening.witnesses.iter().all(|witness| {
+        let is_approved = opening.witnesses.iter().all(|witness| {
             let n = witness.incarnation.0 as usize;
             !self.dead[n] && self.marks[n].open(me, &budget(), opening.opened)
         });
-        agreed && self.holders[holder].opening_agreed(&budget(), &opening)
+        is_approved && self.holders[holder].opening_agreed(&budget(), &opening)
     }
 
-    /// What a holder may spend of its grant, by its own books.
+    /// Returns the cumulative tokens that a holder may spend according to its own account.
     pub fn opened(&self, holder: usize) -> Tokens {
         self.holders[holder].accounts().get(&budget()).map_or(0, |account| account.opened)
     }
 
-    /// Takes back what a holder never opened, by way of `owner`.
+    /// Takes back the tokens that a holder never opened, through `owner`.
     pub fn reclaim(&mut self, owner: usize, holder: usize) {
-        let gone = Incarnation(holder as u64);
+        let reclaimed = Incarnation(holder as u64);
         let shard = self.stored_shard();
-        let grant = shard.budgets.get(&budget()).and_then(|ledger| ledger.grants.get(&gone));
+        let grant = shard.budgets.get(&budget()).and_then(|ledger| ledger.grants.get(&reclaimed));
         let witnesses = grant.map(|grant| grant.witnesses.clone()).unwrap_or_default();
         let live = witnesses.iter().map(|w| w.incarnation).find(|w| !self.dead[w.0 as usize]);
         let Some(witness) = live else { return };
-        let opened = self.marks[witness.0 as usize].close(gone, &budget());
-        self.run(owner, Request::Reclaim { budget: budget(), holder: gone, witness, opened });
+        let opened = self.marks[witness.0 as usize].close(reclaimed, &budget());
+        self.run(owner, Request::Reclaim { budget: budget(), holder: reclaimed, witness, opened });
     }
 
-    /// Reserves at `holder`, drawing by way of `owner` when it is short.
+    /// Reserves tokens at `holder`, which draws through `owner` if it holds too few.
+    /// Returns `None` if the draw is refused.
     pub fn reserve(&mut self, owner: usize, holder: usize, tokens: Tokens) -> Option<Reservation> {
         for _ in 0..100 {
             match self.holders[holder].reserve(&budget(), tokens, self.now) {
@@ -146,13 +148,13 @@
                     draw.received = self.holders[holder].received_from(&budget(), from);
                     match self.run(owner, Request::Draw(draw)) {
                         Answer::Granted => {}
-                        Answer::Refused if self.store_away && self.open(holder, tokens) => {}
+                        Answer::Refused if self.store_unavailable && self.open(holder, tokens) => {}
                         Answer::Refused => return None,
                     }
                 }
             }
         }
-        panic!("draws go on for ever");
+        panic!("100 draws did not yield a reservation");
     }
 
     pub fn settle(&mut self, holder: usize, reservation: Reservation, used: Tokens) {
@@ -174,8 +176,9 @@
         self.holders.iter().map(|h| h.accounts().get(&budget()).map_or(0, |a| a.spent)).sum()
     }
 
-    /// Spent, reserved and free in all holders, and available in the store: all
-    /// that is or may come into use. What is sealed may be taken back.
+    /// Returns the sum of the spent, reserved and free tokens of all holders and the
+    /// available tokens in the store. Sealed tokens are excluded, since they may be
+    /// reclaimed.
     pub fn usable(&self) -> Tokens {
         let accounts = self.holders.iter().filter_map(|h| h.accounts().get(&budget()));
         let held = accounts.map(|a| a.spent + a.reserved + a.free()).sum::<Tokens>();
@@ -187,7 +190,7 @@
         let mut events = VecDeque::from([Event::Requested(1, request.clone())]);
         let deadline = self.now + REQUEST_TIMEOUT_MS;
         while let Some(event) = events.pop_front() {
-            assert!(self.now < deadline, "no answer in a minute");
+            assert!(self.now < deadline, "no reply within 60 s");
             let commands = self.owners[owner].handle(self.now, event);
             for command in commands {
                 match command {
@@ -196,7 +199,7 @@
                     Command::Gather(budget, holders) => {
                         events.push_back(self.gather(owner, budget, &holders));
                     }
-                    Command::Reply(_, reply) => return self.take_reply(&request, reply),
+                    Command::Reply(_, reply) => return self.apply_reply(&request, reply),
                     Command::Transfer { own_grant, draw, max, reply, .. } => {
                         if let Some((granted, opened)) = own_grant {
                             self.holders[owner].granted(&budget(), granted);
@@ -211,25 +214,25 @@
                 }
             }
         }
-        panic!("a question was never answered");
+        panic!("the request was never answered");
     }
 
     fn load(&self) -> Event {
-        if self.store_away {
+        if self.store_unavailable {
             return Event::StoreUnavailable;
         }
         Event::Loaded(self.stored.0, self.stored.1.clone())
     }
 
     fn write(&mut self, version: u64, shard: Shard) -> Event {
-        if self.store_away {
+        if self.store_unavailable {
             return Event::StoreUnavailable;
         }
         if version != self.stored.0 {
             return Event::Conflict;
         }
         self.stored = (version + 1, shard);
-        if std::mem::take(&mut self.lose_next_answer) {
+        if std::mem::take(&mut self.lose_next_reply) {
             return Event::Ambiguous;
         }
         Event::Written(version + 1)
@@ -239,7 +242,7 @@
         assert!(holders.iter().all(|holder| holder.incarnation.0 != owner as u64));
         let me = Incarnation(owner as u64);
         self.open(owner, Tokens::MAX);
-        // Like the daemon, ask also those that hold tokens without a grant.
+        // As in the daemon, includes holders that have tokens but no grant.
         for holder in (0..self.holders.len()).filter(|holder| *holder != owner) {
             if self.dead[holder] {
                 continue;
@@ -267,10 +270,10 @@
             let sent = from.give(&draw.budget, draw.holder, draw.received, most);
             self.holders[holder].received(&draw.budget, Incarnation(owner as u64), sent);
         }
-        self.take_reply(&Request::Draw(draw.clone()), reply)
+        self.apply_reply(&Request::Draw(draw.clone()), reply)
     }
 
-    fn take_reply(&mut self, request: &Request, reply: Reply) -> Answer {
+    fn apply_reply(&mut self, request: &Request, reply: Reply) -> Answer {
         match (request, reply) {
             (Request::Draw(draw), Reply::Granted { granted, opened, recorded, .. }) => {
                 let holder = &mut self.holders[draw.holder.0 as usize];
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -1,5 +1,5 @@
-//! Daemons that write a budget's shard by themselves: whatever becomes of writes
-//! and of daemons, no more is handed out than the budget holds.
+//! Tests daemons that write a budget's shard themselves: reserved and spent tokens never
+//! exceed the budget, whatever happens to writes and daemons.
 
 mod common;
 
@@ -16,21 +16,21 @@
 #[derive(Debug, Clone)]
 enum Step {
     Serve(usize, Tokens, Tokens, StoreFault),
-    DrawAhead(usize, StoreFault),
-    GiveBack(usize, StoreFault),
+    Prefetch(usize, StoreFault),
+    Return(usize, StoreFault),
     Kill(usize),
     Retire(usize, StoreFault),
 }
 
-/// A fleet, and what its callers were handed.
+/// A fleet, and the tokens spent by its callers.
 struct World {
     fleet: Fleet,
-    handed_out: Tokens,
+    spent: Tokens,
 }
 
 impl World {
     fn new() -> Self {
-        World { fleet: Fleet::new(common::terms(TOTAL, DAEMONS as u64)), handed_out: 0 }
+        World { fleet: Fleet::new(common::terms(TOTAL, DAEMONS as u64)), spent: 0 }
     }
 
     fn step(&mut self, step: Step) {
@@ -46,42 +46,43 @@
                     daemon.open.extend(again);
                     return;
                 }
-                // The last one stays open, and the one before it ends.
+                // The newest reservation stays open, and the one before it is settled.
                 if let Some(reservation) = daemon.open.pop() {
-                    self.handed_out += used.min(reservation.tokens());
+                    self.spent += used.min(reservation.tokens());
                     daemon.holder.settle(reservation, used);
                 }
             }
-            Step::DrawAhead(n, fault) => self.fleet.draw(n, 0, fault),
-            Step::GiveBack(n, fault) => {
+            Step::Prefetch(n, fault) => self.fleet.draw(n, 0, fault),
+            Step::Return(n, fault) => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
                 self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
                 self.fleet.draw(n, 0, fault);
             }
             Step::Kill(n) => {
-                // What was open may have been handed out as a whole.
+                // Open reservations may have been spent completely.
                 let open = self.fleet.restart(n);
-                self.handed_out += open.iter().map(Reservation::tokens).sum::<Tokens>();
+                self.spent += open.iter().map(Reservation::tokens).sum::<Tokens>();
             }
             Step::Retire(n, fault) => {
                 let daemon = &mut self.fleet.daemons[n];
                 for reservation in std::mem::take(&mut daemon.open) {
                     let tokens = reservation.tokens();
-                    self.handed_out += tokens;
+                    self.spent += tokens;
                     daemon.holder.settle(reservation, tokens);
                 }
                 let holder = daemon.holder.incarnation();
                 let kept = daemon.holder.retire(&budget());
-                self.fleet.ask(n, Request::Retire { budget: budget(), holder, kept }, fault);
+                self.fleet.request(n, Request::Retire { budget: budget(), holder, kept }, fault);
                 self.fleet.restart(n);
             }
         }
     }
 
-    fn promised(&self) -> Tokens {
+    /// Returns the sum of the spent and reserved tokens.
+    fn in_use(&self) -> Tokens {
         let open = self.fleet.daemons.iter().flat_map(|daemon| &daemon.open);
-        self.handed_out + open.map(Reservation::tokens).sum::<Tokens>()
+        self.spent + open.map(Reservation::tokens).sum::<Tokens>()
     }
 }
 
@@ -99,8 +100,8 @@
     prop_oneof![
         8 => (n(), 1..1_500_u64, 1..1_500_u64, fault())
             .prop_map(|(n, tokens, used, fault)| Step::Serve(n, tokens, used, fault)),
-        2 => (n(), fault()).prop_map(|(n, fault)| Step::DrawAhead(n, fault)),
-        2 => (n(), fault()).prop_map(|(n, fault)| Step::GiveBack(n, fault)),
+        2 => (n(), fault()).prop_map(|(n, fault)| Step::Prefetch(n, fault)),
+        2 => (n(), fault()).prop_map(|(n, fault)| Step::Return(n, fault)),
         1 => n().prop_map(Step::Kill),
         1 => (n(), fault()).prop_map(|(n, fault)| Step::Retire(n, fault)),
     ]
@@ -108,7 +109,7 @@
 
 proptest! {
     #[test]
-    fn no_more_is_promised_than_the_budget_holds(
+    fn tokens_in_use_never_exceed_the_budget(
         steps in prop::collection::vec(step(), 1..120),
         kept_for_others in prop_oneof![Just(0.0), Just(0.2), Just(1.0)],
     ) {
@@ -116,27 +117,27 @@
         world.fleet.terms.kept_for_others = kept_for_others;
         for step in steps {
             world.step(step);
-            prop_assert!(world.promised() <= TOTAL, "{} of {TOTAL}", world.promised());
+            prop_assert!(world.in_use() <= TOTAL, "{} of {TOTAL}", world.in_use());
         }
     }
 }
 
 #[test]
-fn what_is_held_too_much_goes_back_to_the_store() {
+fn surplus_tokens_are_returned_to_the_store() {
     let mut world = World::new();
     world.fleet.draw(0, 4_000, StoreFault::None);
     let before = world.fleet.ledger().available();
-    world.step(Step::GiveBack(0, StoreFault::None));
+    world.step(Step::Return(0, StoreFault::None));
     let ledger = world.fleet.ledger();
     assert!(ledger.available() > before, "{ledger:?}");
     assert_eq!(ledger.available() as i64 + ledger.committed(), TOTAL as i64);
 }
 
 #[test]
-fn a_give_back_whose_answer_was_lost_counts_once() {
+fn a_return_with_a_lost_reply_counts_once() {
     let mut world = World::new();
     world.fleet.draw(0, 4_000, StoreFault::None);
-    world.step(Step::GiveBack(0, StoreFault::ReplyLost));
+    world.step(Step::Return(0, StoreFault::ReplyLost));
     let after = world.fleet.ledger().available();
     world.fleet.draw(0, 0, StoreFault::None);
     assert!(world.fleet.ledger().available() <= after);
@@ -144,22 +145,23 @@
 }
 
 #[test]
-fn holders_keep_a_part_of_what_is_left_in_the_store() {
+fn holders_keep_no_more_than_is_left_in_the_store() {
     let mut world = World::new();
     for round in 0..200 {
         world.fleet.now += 100;
         world.step(Step::Serve(round % DAEMONS, 30, 30, StoreFault::None));
-        world.step(Step::DrawAhead(round % DAEMONS, StoreFault::None));
-        world.step(Step::GiveBack(round % DAEMONS, StoreFault::None));
+        world.step(Step::Prefetch(round % DAEMONS, StoreFault::None));
+        world.step(Step::Return(round % DAEMONS, StoreFault::None));
     }
     let free: Tokens = world.fleet.daemons.iter().map(|daemon| daemon.holder.free(&budget())).sum();
     let left = world.fleet.ledger().available();
-    // A draw may have been made when more was left than is now.
-    assert!(free <= left, "{free} held, {left} left, {LEFT_PER_HELD} asked");
+    // The bound is weaker than the configured ratio, because some draws may have been made
+    // when more tokens were left.
+    assert!(free <= left, "{free} held, {left} left, expected ratio {LEFT_PER_HELD}");
 }
 
 #[test]
-fn a_later_start_ends_the_grants_of_earlier_ones_as_spent() {
+fn a_restart_retires_the_earlier_incarnation_with_its_grant_as_spent() {
     let mut world = World::new();
     world.fleet.draw(0, 1_000, StoreFault::None);
     world.fleet.draw(1, 1_000, StoreFault::None);
--- a/crates/core/tests/forwarded_draws.rs
+++ b/crates/core/tests/forwarded_draws.rs
@@ -1,5 +1,5 @@
-//! Draws that go by way of another daemon, the owner of the shard: no more is handed out
-//! than the budget holds, and starts that are gone leave the ledger.
+//! Tests draws through another daemon, the owner of the shard: spent and held tokens never
+//! exceed the budget, and incarnations that no longer run are removed from the ledger.
 
 mod common;
 
@@ -18,25 +18,25 @@
     Draw { n: usize, owner: usize, need: Tokens, fault: StoreFault },
     Reserve { n: usize, tokens: Tokens },
     Settle { n: usize, used: Tokens },
-    GiveBack { n: usize, owner: usize },
+    Return { n: usize, owner: usize },
     Kill { n: usize },
     RepeatOldDraw { which: usize, owner: usize },
 }
 
 struct World {
     fleet: Fleet,
-    gone: Tokens,
+    spent: Tokens,
     draws: Vec<Draw>,
 }
 
 impl World {
     fn new() -> Self {
         let terms = Terms { keeps: Keeps::ForFleet, ..common::terms(TOTAL, DAEMONS as u64) };
-        World { fleet: Fleet::new(terms), gone: 0, draws: Vec::new() }
+        World { fleet: Fleet::new(terms), spent: 0, draws: Vec::new() }
     }
 
     fn draw(&mut self, n: usize, owner: usize, need: Tokens, fault: StoreFault) {
-        let draw = self.fleet.draw_by(n, owner, need, fault);
+        let draw = self.fleet.draw_through(n, owner, need, fault);
         self.draws.push(draw);
     }
 
@@ -52,11 +52,11 @@
             Step::Settle { n, used } => {
                 let daemon = &mut self.fleet.daemons[n];
                 if let Some(reservation) = daemon.open.pop() {
-                    self.gone += used.min(reservation.tokens());
+                    self.spent += used.min(reservation.tokens());
                     daemon.holder.settle(reservation, used);
                 }
             }
-            Step::GiveBack { n, owner } => {
+            Step::Return { n, owner } => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
                 self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
@@ -64,22 +64,22 @@
             }
             Step::Kill { n } => {
                 let open = self.fleet.restart(n);
-                self.gone += open.iter().map(Reservation::tokens).sum::<Tokens>();
+                self.spent += open.iter().map(Reservation::tokens).sum::<Tokens>();
             }
             Step::RepeatOldDraw { which, owner } => {
-                // It comes late, perhaps of a start that is gone; nobody hears the answer.
+                // A delayed draw, possibly of an earlier incarnation; the reply is ignored.
                 if let Some(draw) = self.draws.get(which % self.draws.len().max(1)).cloned() {
-                    let _unheard = self.fleet.ask(owner, Request::Draw(draw), StoreFault::None);
+                    let _ignored = self.fleet.request(owner, Request::Draw(draw), StoreFault::None);
                 }
             }
         }
     }
 
-    /// Tokens that were spent, are promised, or may still be.
-    fn in_all(&self) -> Tokens {
+    /// Returns the sum of the spent, reserved and free tokens.
+    fn spent_or_held(&self) -> Tokens {
         let open = self.fleet.daemons.iter().flat_map(|daemon| &daemon.open);
         let free = self.fleet.daemons.iter().map(|daemon| daemon.holder.free(&budget()));
-        self.gone + open.map(Reservation::tokens).sum::<Tokens>() + free.sum::<Tokens>()
+        self.spent + open.map(Reservation::tokens).sum::<Tokens>() + free.sum::<Tokens>()
     }
 }
 
@@ -96,7 +96,7 @@
             .prop_map(|(n, owner, need, fault)| Step::Draw { n, owner, need, fault }),
         6 => (n(), 1..900_u64).prop_map(|(n, tokens)| Step::Reserve { n, tokens }),
         4 => (n(), 0..900_u64).prop_map(|(n, used)| Step::Settle { n, used }),
-        2 => (n(), n()).prop_map(|(n, owner)| Step::GiveBack { n, owner }),
+        2 => (n(), n()).prop_map(|(n, owner)| Step::Return { n, owner }),
         2 => n().prop_map(|n| Step::Kill { n }),
         2 => (0..50_usize, n()).prop_map(|(which, owner)| Step::RepeatOldDraw { which, owner }),
     ]
@@ -104,18 +104,18 @@
 
 proptest! {
     #[test]
-    fn no_more_is_handed_out_than_there_is(steps in prop::collection::vec(step(), 1..120)) {
+    fn spent_and_held_tokens_never_exceed_the_budget(steps in prop::collection::vec(step(), 1..120)) {
         let mut world = World::new();
         for step in steps {
             world.step(step);
-            prop_assert!(world.in_all() <= TOTAL, "{} of {TOTAL}", world.in_all());
+            prop_assert!(world.spent_or_held() <= TOTAL, "{} of {TOTAL}", world.spent_or_held());
         }
     }
 }
 
-/// Otherwise the ledger of each budget would grow by a grant with each start of its owner.
+/// Otherwise the ledger of a budget would grow by one grant with each restart of a daemon.
 #[test]
-fn a_start_that_is_gone_leaves_the_ledger_by_the_word_of_the_next() {
+fn an_earlier_incarnation_leaves_the_ledger_after_a_draw_of_its_successor() {
     let mut world = World::new();
     for _ in 0..5 {
         world.draw(1, 0, 100, StoreFault::None);
@@ -128,25 +128,25 @@
 }
 
 #[test]
-fn a_late_draw_of_an_earlier_start_ends_no_later_one() {
+fn a_delayed_draw_of_an_earlier_incarnation_does_not_retire_a_later_one() {
     let mut world = World::new();
     world.draw(1, 0, 100, StoreFault::None);
     world.fleet.restart(1);
     world.draw(1, 0, 100, StoreFault::None);
     world.draw(1, 0, 100, StoreFault::None);
-    let now = world.fleet.daemons[1].holder.incarnation();
+    let current = world.fleet.daemons[1].holder.incarnation();
     world.step(Step::RepeatOldDraw { which: 0, owner: 0 });
-    assert!(world.fleet.ledger().grants.contains_key(&now));
+    assert!(world.fleet.ledger().grants.contains_key(&current));
 }
 
 #[test]
-fn who_keeps_for_the_fleet_may_keep_what_all_may() {
+fn a_holder_that_keeps_for_the_fleet_has_the_share_of_all_holders() {
     let mut world = World::new();
     for n in 0..DAEMONS {
         world.draw(n, 0, 10, StoreFault::None);
     }
     let ledger = world.fleet.ledger();
     let me = world.fleet.daemons[0].holder.incarnation();
-    let itself = Terms { keeps: Keeps::ForItself, ..world.fleet.terms };
-    assert!(ledger.share(me, &world.fleet.terms) >= 2 * ledger.share(me, &itself));
+    let for_itself = Terms { keeps: Keeps::ForItself, ..world.fleet.terms };
+    assert!(ledger.share(me, &world.fleet.terms) >= 2 * ledger.share(me, &for_itself));
 }
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a budget shard, against a store and holders in memory.
+//! Tests the owner of a budget shard with an in-memory store and in-memory holders.
 
 mod common;
 
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn an_owner_that_draws_for_itself_is_refused_when_nothing_is_left() {
+fn an_owner_drawing_for_itself_is_refused_when_too_little_is_left() {
     let mut world = World::new(2, 100);
     assert!(world.reserve(0, 0, 60).is_some());
-    // 40 tokens are left in all; the owner's own free ones count only once.
+    // 40 tokens are left in total; the owner's own free tokens must not count twice.
     assert!(world.reserve(0, 0, 60).is_none());
     assert!(world.reserve(0, 0, 40).is_some());
 }
@@ -34,49 +34,49 @@
 fn unspent_tokens_are_collected_before_a_refusal() {
     let mut world = World::new(4, 100);
     for holder in 1..4 {
-        let reservation = world.reserve(0, holder, 20).expect("there is enough");
+        let reservation = world.reserve(0, holder, 20).expect("enough tokens are left");
         world.settle(holder, reservation, 0);
     }
-    let reservation = world.reserve(0, 1, 100).expect("all of it is free in some holder");
+    let reservation = world.reserve(0, 1, 100).expect("other holders have enough free tokens");
     world.settle(1, reservation, 100);
     assert!(world.reserve(0, 2, 1).is_none());
     assert_eq!(world.spent(), 100);
 }
 
 #[test]
-fn tokens_move_between_holders_while_the_store_is_away() {
+fn tokens_move_between_holders_while_the_store_is_unavailable() {
     let mut world = World::new(3, 100);
-    let reservation = world.reserve(0, 1, 80).expect("there is enough");
+    let reservation = world.reserve(0, 1, 80).expect("enough tokens are left");
     world.settle(1, reservation, 0);
-    world.store_away = true;
-    let reservation = world.reserve(0, 2, 70).expect("another holder has it");
+    world.store_unavailable = true;
+    let reservation = world.reserve(0, 2, 70).expect("another holder has enough free tokens");
     world.settle(2, reservation, 70);
     assert!(world.reserve(0, 2, 70).is_none());
 }
 
 #[test]
-fn a_lost_answer_grants_once() {
+fn a_write_with_a_lost_reply_grants_once() {
     let mut world = World::new(2, 100);
-    world.lose_next_answer = true;
+    world.lose_next_reply = true;
     let reservation = world.reserve(0, 1, 60).expect("the write took effect");
     world.settle(1, reservation, 60);
     assert_eq!(world.stored_shard().budgets[&budget()].granted_to(Incarnation(1)), 60);
 }
 
 #[test]
-fn two_owners_cost_conflicts_and_no_tokens() {
+fn two_owners_never_grant_more_than_the_budget() {
     let mut world = World::new(3, 100);
-    let one = world.reserve(0, 1, 50).expect("there is enough");
-    let two = world.reserve(1, 2, 50).expect("there is enough");
-    world.settle(1, one, 50);
-    world.settle(2, two, 50);
+    let first = world.reserve(0, 1, 50).expect("enough tokens are left");
+    let second = world.reserve(1, 2, 50).expect("enough tokens are left");
+    world.settle(1, first, 50);
+    world.settle(2, second, 50);
     assert!(world.reserve(0, 1, 1).is_none());
     assert!(world.reserve(1, 2, 1).is_none());
     assert_eq!(world.spent(), 100);
 }
 
 #[test]
-fn a_top_up_counts_once_however_often_it_is_sent() {
+fn a_repeated_top_up_counts_once() {
     let mut world = World::new(2, 100);
     for owner in [0, 1, 0] {
         world.top_up(owner, "t-1", 50);
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn a_retired_holder_keeps_only_what_it_used() {
+fn a_retired_holder_is_charged_only_for_used_tokens() {
     let mut world = World::new(2, 100);
-    let reservation = world.reserve(0, 1, 80).expect("there is enough");
+    let reservation = world.reserve(0, 1, 80).expect("enough tokens are left");
     world.settle(1, reservation, 30);
     world.retire(0, 1);
     let ledger = &world.stored_shard().budgets[&budget()];
@@ -103,20 +103,20 @@
     let daemons = 3 * MAX_GRANTS;
     let mut world = World::new(daemons as u64, 100_000);
     for holder in 0..daemons {
-        let reservation = world.reserve(0, holder, 100).expect("there is enough");
+        let reservation = world.reserve(0, holder, 100).expect("enough tokens are left");
         world.settle(holder, reservation, 100);
     }
     let ledger = &world.stored_shard().budgets[&budget()];
     assert!(ledger.grants.len() <= MAX_GRANTS + 1, "{}", ledger.grants.len());
     assert_eq!(world.spent(), 100 * daemons as u64);
     let left = 100_000 - world.spent();
-    assert!(world.reserve(0, daemons - 1, left).is_some(), "all that is left is in reach");
+    assert!(world.reserve(0, daemons - 1, left).is_some(), "all remaining tokens can be collected");
 }
 
 #[test]
-fn what_a_dead_holder_never_opened_is_taken_back() {
+fn unopened_tokens_of_a_dead_holder_are_reclaimed() {
     let mut world = World::new(4, 1_000);
-    let reservation = world.reserve(0, 1, 50).expect("there is enough");
+    let reservation = world.reserve(0, 1, 50).expect("enough tokens are left");
     world.settle(1, reservation, 50);
     let opened = world.stored_shard().budgets[&budget()].opened_by(Incarnation(1));
     world.dead[1] = true;
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn what_its_witnesses_let_it_open_is_not_taken_back() {
+fn tokens_opened_through_witnesses_are_not_reclaimed() {
     let mut world = World::new(4, 1_000);
-    let reservation = world.reserve(0, 1, 50).expect("there is enough");
+    let reservation = world.reserve(0, 1, 50).expect("enough tokens are left");
     world.settle(1, reservation, 50);
     let stored = world.stored_shard().budgets[&budget()].opened_by(Incarnation(1));
     assert!(world.open(1, 5));
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn a_holder_that_only_seemed_dead_opens_nothing_more() {
+fn a_live_holder_opens_nothing_more_after_a_reclaim() {
     let mut world = World::new(4, 1_000);
-    let reservation = world.reserve(0, 1, 50).expect("there is enough");
+    let reservation = world.reserve(0, 1, 50).expect("enough tokens are left");
     world.settle(1, reservation, 50);
     world.reclaim(0, 1);
     assert!(!world.open(1, 10));
-    assert!(world.reserve(0, 1, 200).is_none(), "a holder that was ended draws no more");
+    assert!(world.reserve(0, 1, 200).is_none(), "a retired holder can draw no more");
 }
--- a/crates/core/tests/owner_ration.rs
+++ b/crates/core/tests/owner_ration.rs
@@ -1,11 +1,12 @@
-//! What an owner in a large fleet hands on near a budget's end.
+//! Tests how an owner in a large fleet distributes tokens near a budget's end.
 //!
-//! Load pattern: all daemons have lost power, and with them what they held; of one budget
-//! 3.6 seconds' spending is left, requests of all sizes go on. Handed on by arrival, the
-//! large ones take it, and of the callers from 6 s on nobody is served. Rationed by the
-//! owner, 0.85 of the small requests are, 0.42 of all. On the users' days with such a loss
-//! 0.39 and 0.49 of the callers from 15 s after the return on were served, rationed 0.60
-//! and 0.66; a quarter is asked.
+//! Guards against large requests using up the rest of a budget. All daemons have lost
+//! power and the tokens that they held; 3.6 s of spending is left of one budget, and
+//! requests of all sizes continue. Served in order of arrival, large requests take the
+//! remaining tokens, and no caller from 6 s on is served. With rationing by the owner,
+//! 0.85 of the small requests and 0.42 of all requests are served. On the users' days with
+//! such a loss, 0.39 and 0.49 of the callers from 15 s after the recovery on were served
+//! without rationing, and 0.60 and 0.66 with it; the requirement is a quarter.
 
 use bankcove_core::holder::{Ask, Holder, Keeps, Outlook, Terms, Wish};
 use bankcove_core::{Incarnation, Millis, Tokens};
@@ -15,32 +16,35 @@
 
 const OWNER: Incarnation = Incarnation(1);
 const LEFT: Tokens = 1_500_000;
-const LASTS_MS: Millis = 18_000;
+const SIMULATED_MS: Millis = 18_000;
 const RATION_S: f64 = 0.9;
 
-/// Requests come each 10 ms, of these sizes and ranks in turn.
-const PAUSE_MS: Millis = 10;
+/// Interval between two requests, in milliseconds.
+const INTERVAL_MS: Millis = 10;
+
+/// Tokens and priority rank of the requests, in turn.
 const REQUESTS: [(Tokens, u32); 4] = [(12_000, 0), (1_100, 1), (2_400, 2), (1_100, 1)];
 
 fn terms() -> Terms {
     Terms { keeps: Keeps::LeftToOwner, held_ahead: 0.0, ..common::terms(10 * LEFT, 295) }
 }
 
-/// An owner that has handed on much for 10 s before, and has all that is left.
-fn owner(store_away: bool) -> Holder {
+/// Returns an owner that has distributed many tokens during the past 10 s and holds all
+/// remaining ones. With `is_store_unavailable` the ledger has plenty, but out of reach.
+fn owner(is_store_unavailable: bool) -> Holder {
     let mut owner = Holder::new(OWNER);
     let plenty = 1_000_000_000;
     owner.granted(&budget(), plenty);
     owner.opened(&budget(), plenty);
     for n in 0..1_000 {
         let (tokens, _) = REQUESTS[n as usize % REQUESTS.len()];
-        let ask = ask(n, tokens, None, n * PAUSE_MS);
-        owner.allot(&ask, n * PAUSE_MS).expect("there is plenty");
+        let ask = ask(n, tokens, None, n * INTERVAL_MS);
+        owner.allot(&ask, n * INTERVAL_MS).expect("there is plenty");
     }
     let spent = owner.free(&budget()) - LEFT;
     owner.give(&budget(), Incarnation(9), 0, spent);
-    // While the store is away what it has left does not help.
-    let left = if store_away { plenty } else { 0 };
+    // Tokens left in the store are out of reach while it is unavailable.
+    let left = if is_store_unavailable { plenty } else { 0 };
     owner.known(&budget(), Outlook { share: 0, left }, 10_000);
     owner
 }
@@ -50,47 +54,48 @@
     Ask { wish, ..holder.ask(&budget(), Some(OWNER), tokens, &terms(), now) }
 }
 
-/// Parts of the callers of each rank that are served, from 6 s after the loss on.
-fn served(is_rationed: bool, store_away: bool) -> (f64, [f64; 3]) {
-    let mut owner = owner(store_away);
-    let (mut asked, mut given) = ([0.0; 3], [0.0; 3]);
-    for (n, at) in (0..LASTS_MS).step_by(PAUSE_MS as usize).enumerate() {
+/// Returns the fraction of all callers that are served from 6 s after the loss on, and the
+/// fractions for each rank.
+fn served_fractions(is_rationed: bool, is_store_unavailable: bool) -> (f64, [f64; 3]) {
+    let mut owner = owner(is_store_unavailable);
+    let (mut requested, mut granted) = ([0.0; 3], [0.0; 3]);
+    for (n, at) in (0..SIMULATED_MS).step_by(INTERVAL_MS as usize).enumerate() {
         let now = 10_000 + at;
         let (tokens, rank) = REQUESTS[n % REQUESTS.len()];
         let wish = Wish { tokens, rank, ration_s: RATION_S };
         let ask = ask(10_000 + n as u64, tokens, Some(wish), now);
-        let ration = owner.ration_of(&budget(), &wish, store_away, now);
-        let is_let_in = !is_rationed || tokens <= ration;
-        let is_served = is_let_in && owner.allot(&ask, now).is_ok();
+        let ration = owner.ration_of(&budget(), &wish, is_store_unavailable, now);
+        let is_admitted = !is_rationed || tokens <= ration;
+        let is_served = is_admitted && owner.allot(&ask, now).is_ok();
         if at >= 6_000 {
-            asked[rank as usize] += 1.0;
-            given[rank as usize] += f64::from(u8::from(is_served));
+            requested[rank as usize] += 1.0;
+            granted[rank as usize] += f64::from(u8::from(is_served));
         }
     }
-    let parts = [0, 1, 2].map(|rank| given[rank] / asked[rank]);
-    (given.iter().sum::<f64>() / asked.iter().sum::<f64>(), parts)
+    let by_rank = [0, 1, 2].map(|rank| granted[rank] / requested[rank]);
+    (granted.iter().sum::<f64>() / requested.iter().sum::<f64>(), by_rank)
 }
 
 #[test]
-fn by_arrival_hardly_anybody_is_served_from_some_seconds_on() {
-    let (all, parts) = served(false, false);
-    assert!(all < 0.05, "{all} {parts:?}");
+fn in_order_of_arrival_few_callers_are_served_after_some_seconds() {
+    let (all, by_rank) = served_fractions(false, false);
+    assert!(all < 0.05, "{all} {by_rank:?}");
 }
 
 #[test]
-fn rationed_by_the_owner_the_small_ones_are_served_to_the_end() {
-    let (all, parts) = served(true, false);
-    assert!(all > 0.4 && parts[1] > 0.8, "{all} {parts:?}");
+fn with_rationing_small_requests_are_served_until_the_end() {
+    let (all, by_rank) = served_fractions(true, false);
+    assert!(all > 0.4 && by_rank[1] > 0.8, "{all} {by_rank:?}");
 }
 
 #[test]
-fn in_an_outage_what_is_in_reach_is_rationed() {
-    let (all, parts) = served(true, true);
-    assert!(all > 0.15 && parts[1] > 0.3, "{all} {parts:?}");
+fn tokens_in_reach_are_rationed_during_a_store_outage() {
+    let (all, by_rank) = served_fractions(true, true);
+    assert!(all > 0.15 && by_rank[1] > 0.3, "{all} {by_rank:?}");
 }
 
 #[test]
-fn with_plenty_left_nothing_is_rationed() {
+fn nothing_is_rationed_while_plenty_is_left() {
     let mut owner = owner(false);
     owner.known(&budget(), Outlook { share: 0, left: 100 * LEFT }, 10_000);
     let wish = Wish { tokens: 40_000, rank: 2, ration_s: RATION_S };
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_know_what_is_left_rations_nothing() {
+fn an_owner_without_an_outlook_rations_nothing() {
     let owner = Holder::new(OWNER);
     let wish = Wish { tokens: 40_000, rank: 0, ration_s: RATION_S };
     assert_eq!(owner.ration_of(&budget(), &wish, false, 0), Tokens::MAX);
--- a/crates/core/tests/owner_reserve.rs
+++ b/crates/core/tests/owner_reserve.rs
@@ -1,9 +1,11 @@
-//! What an owner in a large fleet keeps for the others before any spending is known.
+//! Tests the reserve that an owner in a large fleet keeps for other daemons before any
+//! spending rate is known.
 //!
-//! Symptom: with the store away from 0.7 s after the first callers on, 581 of 899 requests
-//! of two seconds were refused (`budget_out_of_reach`), for 12 s. Sequence: all daemons
-//! gave back what they held before anybody came; then only the needs of the first 0.7 s
-//! were drawn. Cause: shares and reserves followed rates, and all rates were 0.
+//! Guards against a fleet without reserves. When the store became unavailable 0.7 s after
+//! the first requests, 581 of 899 requests of two seconds were refused
+//! (`budget_out_of_reach`), for 12 s. All daemons had returned their tokens before the
+//! first request, and afterwards drew only the needs of the first 0.7 s: shares and
+//! reserves were proportional to spending rates, and all rates were 0.
 
 mod common;
 
@@ -15,11 +17,11 @@
 const OWNER: Incarnation = Incarnation(1);
 const ASKER: Incarnation = Incarnation(2);
 
-/// Time after the first spending by which it counts as known, with a margin.
-const KNOWN_MS: Millis = 11_000;
+/// Time after the first spending when its rate counts as known, with a margin.
+const RATE_KNOWN_MS: Millis = 11_000;
 
-/// A fifth of the half that all may hold.
-const KEPT: Tokens = TOTAL / 10;
+/// Reserve for other daemons: a fifth of the half that all holders together may hold.
+const RESERVE: Tokens = TOTAL / 10;
 
 fn terms() -> Terms {
     Terms { held_ahead: 0.0, kept_for_others: 0.2, ..common::terms(TOTAL, 80) }
@@ -51,33 +53,33 @@
 }
 
 #[test]
-fn an_owner_draws_for_others_before_anybody_comes() {
+fn an_owner_draws_for_others_before_the_first_request() {
     assert!(Holder::new(OWNER).runs_low(&budget(), &terms(), 0));
     assert!(owner_with(1).runs_low(&budget(), &terms(), 0));
-    assert!(!owner_with(KEPT).runs_low(&budget(), &terms(), 0));
+    assert!(!owner_with(RESERVE).runs_low(&budget(), &terms(), 0));
 }
 
 #[test]
-fn it_gives_nothing_of_that_back_before_spending_is_known() {
-    let mut owner = owner_with(KEPT);
+fn an_owner_returns_none_of_its_reserve_before_a_rate_is_known() {
+    let mut owner = owner_with(RESERVE);
     assert_eq!(owner.return_surplus(&budget(), &terms(), 0), 0);
-    let first = owner.reserve(&budget(), 10, 0).expect("there is enough");
+    let first = owner.reserve(&budget(), 10, 0).expect("the owner holds enough tokens");
     owner.settle(first, 10);
     assert_eq!(owner.return_surplus(&budget(), &terms(), 1), 0);
-    assert!(owner.return_surplus(&budget(), &terms(), KNOWN_MS) > KEPT / 2);
+    assert!(owner.return_surplus(&budget(), &terms(), RATE_KNOWN_MS) > RESERVE / 2);
 }
 
 #[test]
-fn what_is_kept_serves_needs_and_no_wishes_ahead() {
-    let mut owner = owner_with(KEPT);
+fn the_reserve_serves_needs_but_no_prefetching() {
+    let mut owner = owner_with(RESERVE);
     owner.return_surplus(&budget(), &terms(), 0);
-    let allotted = owner.allot(&ask(100, KEPT), 0).expect("the need is free");
+    let allotted = owner.allot(&ask(100, RESERVE), 0).expect("the owner has enough free tokens");
     assert_eq!(allotted.cumulative, 100);
 }
 
 #[test]
-fn who_owns_nothing_keeps_nothing_for_others() {
+fn a_daemon_that_owns_nothing_keeps_no_reserve() {
     let other = Terms { kept_for_others: 0.0, ..terms() };
     assert!(!owner_with(1).runs_low(&budget(), &other, 0));
-    assert!(owner_with(KEPT).return_surplus(&budget(), &other, 0) > KEPT / 2);
+    assert!(owner_with(RESERVE).return_surplus(&budget(), &other, 0) > RESERVE / 2);
 }
--- a/crates/core/tests/request_log.rs
+++ b/crates/core/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! The request log: two appenders on one store, lost answers and outages.
+//! Tests the request log with several appenders on one store, lost replies and outages.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -24,16 +24,16 @@
     Entry::Bill(Bill { request, attempt, budget, prompt_tokens: 1, output_tokens: 1 })
 }
 
-/// Appenders on one store; each call of the store is one step.
+/// Appenders that share one store; each store call is one step.
 struct World {
     now: u64,
     stored: BTreeMap<u64, Segment>,
     logs: Vec<RequestLog>,
-    todo: Vec<Vec<Command>>,
+    commands: Vec<Vec<Command>>,
     answers: HashMap<u64, Outcome>,
     next_ticket: u64,
-    lose_answer: bool,
-    away: bool,
+    lose_reply: bool,
+    is_unavailable: bool,
 }
 
 impl World {
@@ -42,11 +42,11 @@
             now: 0,
             stored: BTreeMap::new(),
             logs: (0..APPENDERS).map(|_| RequestLog::new(INTERVAL_MS)).collect(),
-            todo: vec![Vec::new(); APPENDERS],
+            commands: vec![Vec::new(); APPENDERS],
             answers: HashMap::new(),
             next_ticket: 0,
-            lose_answer: false,
-            away: false,
+            lose_reply: false,
+            is_unavailable: false,
         }
     }
 
@@ -56,22 +56,25 @@
         self.next_ticket
     }
 
+    /// Handles one event; records answers and queues the other commands.
     fn event(&mut self, appender: usize, event: Event) {
         for command in self.logs[appender].handle(self.now, event) {
             match command {
                 Command::Answer(ticket, outcome) => {
                     assert!(self.answers.insert(ticket, outcome).is_none(), "answered twice");
                 }
-                other => self.todo[appender].push(other),
+                other => self.commands[appender].push(other),
             }
         }
     }
 
-    /// Carries out one waiting command of an appender.
+    /// Executes one queued command of an appender.
     fn step(&mut self, appender: usize) {
-        let Some(command) = self.todo[appender].pop() else { return };
+        let Some(command) = self.commands[appender].pop() else { return };
         let event = match command {
-            _ if self.away && !matches!(command, Command::WakeAt(_)) => Event::StoreUnavailable,
+            _ if self.is_unavailable && !matches!(command, Command::WakeAt(_)) => {
+                Event::StoreUnavailable
+            }
             Command::FindNewest => Event::NewestFound(self.stored.keys().last().copied()),
             Command::Read(number) => Event::SegmentRead(number, self.stored.get(&number).cloned()),
             Command::Append(number, segment) => self.append(number, segment),
@@ -89,15 +92,17 @@
             return Event::Conflict;
         }
         self.stored.insert(number, segment);
-        if std::mem::take(&mut self.lose_answer) { Event::Ambiguous } else { Event::Appended }
+        if std::mem::take(&mut self.lose_reply) { Event::Ambiguous } else { Event::Appended }
     }
 
     fn run(&mut self) {
         for _ in 0..10_000 {
-            let Some(busy) = self.todo.iter().position(|todo| !todo.is_empty()) else { return };
-            self.step(busy);
+            let Some(appender) = self.commands.iter().position(|queue| !queue.is_empty()) else {
+                return;
+            };
+            self.step(appender);
         }
-        panic!("the appenders never come to rest");
+        panic!("the appenders still have commands after 10,000 steps");
     }
 
     fn entries(&self) -> impl Iterator<Item = &Entry> {
@@ -106,7 +111,7 @@
 }
 
 #[test]
-fn the_first_claim_wins_everywhere() {
+fn the_first_claim_wins_for_all_appenders() {
     let mut world = World::new();
     let one = world.submit(0, claim(1, attempt(0, 1)));
     world.run();
@@ -141,13 +146,13 @@
 }
 
 #[test]
-fn an_outage_is_told_and_the_entry_can_be_sent_again() {
+fn an_outage_is_reported_and_the_entry_can_be_submitted_again() {
     let mut world = World::new();
-    world.away = true;
-    let away = world.submit(0, bill(1, attempt(0, 1)));
+    world.is_unavailable = true;
+    let refused = world.submit(0, bill(1, attempt(0, 1)));
     world.run();
-    assert_eq!(world.answers[&away], Outcome::StoreAway);
-    world.away = false;
+    assert_eq!(world.answers[&refused], Outcome::StoreAway);
+    world.is_unavailable = false;
     world.now += 1_000;
     let again = world.submit(0, bill(1, attempt(0, 1)));
     world.run();
@@ -159,8 +164,8 @@
     Claim { appender: usize, request: u128 },
     Bill { appender: usize, request: u128, attempt_of: usize },
     Progress(usize),
-    LoseAnswer,
-    Away(bool),
+    LoseReply,
+    Unavailable(bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -170,8 +175,8 @@
             |(appender, request, attempt_of)| Step::Bill { appender, request, attempt_of }
         ),
         8 => (0..APPENDERS).prop_map(Step::Progress),
-        1 => Just(Step::LoseAnswer),
-        1 => any::<bool>().prop_map(Step::Away),
+        1 => Just(Step::LoseReply),
+        1 => any::<bool>().prop_map(Step::Unavailable),
     ]
 }
 
@@ -193,11 +198,11 @@
                     world.submit(appender, bill(request, attempt(attempt_of, 0)));
                 }
                 Step::Progress(appender) => world.step(appender),
-                Step::LoseAnswer => world.lose_answer = true,
-                Step::Away(away) => world.away = away,
+                Step::LoseReply => world.lose_reply = true,
+                Step::Unavailable(is_unavailable) => world.is_unavailable = is_unavailable,
             }
         }
-        world.away = false;
+        world.is_unavailable = false;
         world.now += 10_000;
         world.run();
         let mut winners = HashSet::new();
@@ -212,6 +217,6 @@
                 prop_assert!(billed.insert(bill.request), "two bills of {}", bill.request);
             }
         }
-        prop_assert_eq!(world.answers.len() as u64, world.next_ticket, "each has an answer");
+        prop_assert_eq!(world.answers.len() as u64, world.next_ticket, "each entry is answered");
     }
 }
