--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -10,7 +10,7 @@
 use bankcove_bench::routing_world::table;
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::hints::{HintFact, LeavingStarts};
+use bankcove_core::hints::{HintFact, LeavingServers};
 use bankcove_core::holder::{Draw, Holder, Keeps, Terms};
 use bankcove_core::limits::{ISSUERS, Issuer, LimitBook, LimitWord, Place, RequestRate, Wish};
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
@@ -142,7 +142,7 @@
 
 fn members(count: usize) -> Members {
     let mut members = Members::new(Name::from("me"));
-    members.host_list(&(0..count).map(host).collect::<Vec<_>>());
+    members.apply_host_list(&(0..count).map(host).collect::<Vec<_>>());
     members
 }
 
@@ -181,8 +181,8 @@
 }
 
 /// So many starts of servers that leave.
-fn leaving(servers: usize) -> LeavingStarts {
-    let mut leaving = LeavingStarts::default();
+fn leaving(servers: usize) -> LeavingServers {
+    let mut leaving = LeavingServers::default();
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
         leaving.add(10, &server, 0);
@@ -315,7 +315,7 @@
         for peer in (0..n).map(host) {
             let mut beat = heartbeat();
             beat.name = peer.name;
-            members.heard(0, &beat);
+            members.record_heartbeat(0, &beat);
         }
         let started = Instant::now();
         for key in 0..ROUNDS {
@@ -342,7 +342,7 @@
         let limit = RequestRate::new(1.2).expect("it is a rate");
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(members.owners_listed(server.key(), ISSUERS));
+            std::hint::black_box(members.owners_including_silent(server.key(), ISSUERS));
             let wish = Wish { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
             let place = Place { rank: 0, since: 0 };
             std::hint::black_box(issuer.issue(10_000 + now, &server, limit, place, wish));
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -53,26 +53,26 @@
 
 /// What is to become of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum EventAction {
     /// It is the next one.
     Deliver,
     /// It was delivered before.
-    Repeat,
+    Duplicate,
     /// Events before it are missing.
     Gap,
 }
 
 /// Where a stream stands.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Order {
+pub struct EventSequence {
     last: Option<u64>,
 }
 
-impl Order {
+impl EventSequence {
     /// The order of a stream that goes on after this event; of a new one when
     /// there is none.
     pub fn after(last: Option<u64>) -> Self {
-        Order { last }
+        EventSequence { last }
     }
 
     /// Number of the last event that was delivered.
@@ -82,15 +82,15 @@
 
     /// Judges the event of this number. Events without one carry no piece of
     /// the answer and are delivered; the first number of a stream may be any.
-    pub fn accept(&mut self, id: Option<u64>) -> Verdict {
-        let Some(id) = id else { return Verdict::Deliver };
+    pub fn accept(&mut self, id: Option<u64>) -> EventAction {
+        let Some(id) = id else { return EventAction::Deliver };
         let verdict = match self.last {
-            None => Verdict::Deliver,
-            Some(last) if id <= last => Verdict::Repeat,
-            Some(last) if id == last + 1 => Verdict::Deliver,
-            Some(_) => Verdict::Gap,
+            None => EventAction::Deliver,
+            Some(last) if id <= last => EventAction::Duplicate,
+            Some(last) if id == last + 1 => EventAction::Deliver,
+            Some(_) => EventAction::Gap,
         };
-        if verdict == Verdict::Deliver {
+        if verdict == EventAction::Deliver {
             self.last = Some(id);
         }
         verdict
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -33,26 +33,26 @@
     }
 
     /// The store told the table as it stood at `at`.
-    pub fn table_read(&mut self, at: Millis) {
+    pub fn record_table_read(&mut self, at: Millis) {
         self.table_at = self.table_at.max(Some(at));
     }
 
     /// The store told the server list as it stood at `at`.
-    pub fn servers_read(&mut self, at: Millis) {
+    pub fn record_servers_read(&mut self, at: Millis) {
         self.servers_at = self.servers_at.max(Some(at));
     }
 
     /// The store told the list of halls as it stood at `at`.
-    pub fn halls_read(&mut self, at: Millis) {
+    pub fn record_halls_read(&mut self, at: Millis) {
         self.halls_at = self.halls_at.max(Some(at));
     }
 
     /// A peer that knows nothing newer is this current.
-    pub fn caught_up(&mut self, now: Millis, age: Millis) {
+    pub fn record_peer_sync(&mut self, now: Millis, age: Millis) {
         let at = now.saturating_sub(age);
-        self.table_read(at);
-        self.servers_read(at);
-        self.halls_read(at);
+        self.record_table_read(at);
+        self.record_servers_read(at);
+        self.record_halls_read(at);
     }
 
     /// Age of the oldest of them; none before all were told once.
--- a/crates/core/src/hall_list.rs
+++ b/crates/core/src/hall_list.rs
@@ -43,7 +43,7 @@
 
 impl HallList {
     /// The list for a peer.
-    pub fn told(&self) -> &EvacuatedHalls {
+    pub fn evacuated(&self) -> &EvacuatedHalls {
         &self.told
     }
 
--- a/crates/core/src/hints.rs
+++ b/crates/core/src/hints.rs
@@ -1,14 +1,14 @@
 //! What backend servers say of themselves in the heads of their answers.
 
 mod leaving;
-mod rests;
+mod rest_periods;
 
 use std::time::{Duration, SystemTime};
 
 use serde::{Deserialize, Serialize};
 
-pub use leaving::{LeavingFact, LeavingStarts};
-pub use rests::Rests;
+pub use leaving::{LeavingFact, LeavingServers};
+pub use rest_periods::RestPeriods;
 
 use crate::Millis;
 use crate::limits::{LimitFact, LimitWord};
@@ -95,7 +95,7 @@
 /// Reads `Retry-After` of a 503: seconds, also fractions, or an HTTP date, which counts from
 /// the answer's own `Date`, since no two hosts have the same clock. Of several the longest
 /// counts; one that is over already says nothing.
-pub fn read_rest<'a>(
+pub fn read_retry_after<'a>(
     values: impl IntoIterator<Item = &'a str>,
     date: Option<&str>,
 ) -> Hint<Millis> {
--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -22,13 +22,13 @@
 
 /// The starts that one daemon knows to be leaving.
 #[derive(Debug, Clone, Default)]
-pub struct LeavingStarts {
+pub struct LeavingServers {
     /// When each said so first.
     known: HashMap<ServerStart, Millis>,
     digest: u64,
 }
 
-impl LeavingStarts {
+impl LeavingServers {
     /// Whether this start leaves.
     pub fn contains(&self, server: &ServerStart) -> bool {
         self.known.contains_key(server)
--- a/crates/core/src/hints/rests.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -14,11 +14,11 @@
 
 /// Until when each server wants nothing, by this daemon's clock.
 #[derive(Debug, Clone, Default)]
-pub struct Rests {
+pub struct RestPeriods {
     known: HashMap<ServerStart, Rest>,
 }
 
-impl Rests {
+impl RestPeriods {
     /// A server asks now for a rest of `rest_ms`. Returns its end when that is later than what
     /// was known: a shorter rest does not end a longer one.
     pub fn observe(
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod router;
 pub mod server_list;
 pub mod shard;
-pub mod standing;
+pub mod store_read_policy;
 pub mod stream;
 pub mod table;
 pub mod table_check;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -32,22 +32,22 @@
 /// Proof that no byte of a request was written to the backend server: the
 /// connection itself failed, or the server said that it did not run it.
 #[derive(Debug)]
-pub struct NothingRan(());
+pub struct NotExecuted(());
 
-impl NothingRan {
+impl NotExecuted {
     /// The connection could not be made.
     pub fn connection_failed() -> Self {
-        NothingRan(())
+        NotExecuted(())
     }
 
     /// It was not sent.
     pub fn never_sent() -> Self {
-        NothingRan(())
+        NotExecuted(())
     }
 
     /// The backend server refused the request and said that it did not run.
     pub fn refused_by_server() -> Self {
-        NothingRan(())
+        NotExecuted(())
     }
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// Goes back: it is proved that nothing ran.
-    pub fn back_out(self, _proof: NothingRan) -> Attempt<Admitted> {
+    pub fn revert_dispatch(self, _proof: NotExecuted) -> Attempt<Admitted> {
         self.with(|state| Admitted { reservation: state.reservation })
     }
 
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -95,7 +95,7 @@
     /// Hash of what the sender knows of crashes, as [`crate::crashes::CrashBook::digest`].
     pub crashes_digest: u64,
     /// Hash of what servers have said as far as the sender knows: of
-    /// [`crate::limits::LimitBook::digest`] and [`crate::hints::LeavingStarts::digest`].
+    /// [`crate::limits::LimitBook::digest`] and [`crate::hints::LeavingServers::digest`].
     pub hints_digest: u64,
 }
 
@@ -133,7 +133,7 @@
     }
 
     /// Takes in which start of it runs; what was known of another one counts no more.
-    fn speaks_as(&mut self, start: Incarnation) {
+    fn set_incarnation(&mut self, start: Incarnation) {
         if self.incarnation == Some(start) {
             return;
         }
@@ -213,7 +213,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn host_list(&mut self, hosts: &[Host]) {
+    pub fn apply_host_list(&mut self, hosts: &[Host]) {
         let names_me = hosts.iter().any(|host| host.name == self.me);
         if names_me || self.list == ListSeen::Not {
             self.list = if names_me { ListSeen::WithMe } else { ListSeen::WithoutMe };
@@ -242,12 +242,12 @@
     }
 
     /// Takes in a heartbeat, received or answered.
-    pub fn heard(&mut self, now: Millis, heartbeat: &Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if heartbeat.name == self.me {
             return;
         }
         let peer = self.entry(&heartbeat.name, &heartbeat.hall, &heartbeat.address);
-        peer.speaks_as(heartbeat.incarnation);
+        peer.set_incarnation(heartbeat.incarnation);
         peer.address.clone_from(&heartbeat.address);
         peer.revision = peer.revision.max(heartbeat.revision);
         peer.stopping = heartbeat.stopping;
@@ -259,23 +259,23 @@
 
     /// Takes in which start of a peer has answered: in a large fleet most peers are never
     /// heard in heartbeats, and what is to go back to one has to name its start.
-    pub fn answered(&mut self, name: &Name, start: Incarnation) {
+    pub fn record_answer(&mut self, name: &Name, start: Incarnation) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.speaks_as(start);
+            peer.set_incarnation(start);
             peer.failures = 0;
         }
     }
 
     /// Takes in that peers answer again after all of them were silent to this
     /// daemon: what it suspects of others says nothing of them.
-    pub fn forgive(&mut self) {
+    pub fn clear_failures(&mut self) {
         for peer in self.peers.values_mut() {
             peer.failures = 0;
         }
     }
 
     /// Takes in that a peer did not answer.
-    pub fn failed(&mut self, name: &Name) {
+    pub fn record_failure(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.failures = peer.failures.saturating_add(1);
         }
@@ -298,7 +298,7 @@
     }
 
     /// Up to `count` usable peers, drawn by `seed`.
-    pub fn some(&self, count: usize, seed: u64) -> Vec<Peer> {
+    pub fn sample(&self, count: usize, seed: u64) -> Vec<Peer> {
         first_by_score(self.usable().collect(), seed, count)
     }
 
@@ -310,7 +310,7 @@
 
     /// As [`Members::owners`], with peers that don't answer this daemon: in a cut the order is
     /// the same on both sides.
-    pub fn owners_listed(&self, key: u64, most: usize) -> Vec<Option<Peer>> {
+    pub fn owners_including_silent(&self, key: u64, most: usize) -> Vec<Option<Peer>> {
         let there = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
         self.ranked(key, most, there)
     }
@@ -336,7 +336,7 @@
 
     /// How many usable peers of the hall come before this daemon as readers of
     /// the store.
-    pub fn reader_rank(&self, hall: &Name) -> usize {
+    pub fn store_reader_rank(&self, hall: &Name) -> usize {
         let key = name_key(hall);
         let mine = rendezvous_score(key, self.my_key);
         let in_hall = self.usable().filter(|peer| peer.hall == *hall);
@@ -348,7 +348,7 @@
     ///
     /// # Errors
     /// The peers to ask instead.
-    pub fn reads_store_for(&self, hall: &Name, count: usize) -> Result<(), Vec<Peer>> {
+    pub fn check_store_reader(&self, hall: &Name, count: usize) -> Result<(), Vec<Peer>> {
         let key = name_key(hall);
         let in_hall = self.usable().filter(|peer| peer.hall == *hall);
         let mine = rendezvous_score(key, self.my_key);
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -25,7 +25,7 @@
 use std::collections::HashMap;
 
 use crate::crashes::ServerStart;
-use crate::hints::{LeavingStarts, Rests};
+use crate::hints::{LeavingServers, RestPeriods};
 use crate::router::elsewhere::Elsewhere;
 use crate::router::pool::{HallPool, Pool};
 use crate::router::reading::{Reading, mean};
@@ -47,9 +47,9 @@
     /// What peers have under way.
     elsewhere: Elsewhere,
     /// Starts of servers that leave, also of those that are not in the table now.
-    leaving: LeavingStarts,
+    leaving: LeavingServers,
     /// Starts of servers that rest.
-    rests: Rests,
+    rests: RestPeriods,
 }
 
 impl Router {
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -5,13 +5,13 @@
 //! they are back soon after its return. An entry that is missing right after
 //! an outage is therefore kept for [`LAPSE_GRACE_MS`].
 
-mod news;
+mod update;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-pub use news::ListNews;
+pub use update::ListUpdate;
 
 use crate::{Millis, Name};
 
@@ -56,14 +56,14 @@
     /// Entries that are new or have changed.
     pub put: Vec<ListedServer>,
     /// Entries that were removed.
-    pub gone: Vec<Gone>,
+    pub gone: Vec<RemovedServer>,
     /// Entries that can't be read: they name no server to use.
     pub unreadable: Vec<Unreadable>,
 }
 
 /// An entry that was removed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct RemovedServer {
     /// The server.
     pub name: Name,
     /// The start of it that the entry told of, as [`ListedServer::started_ms`].
@@ -156,12 +156,12 @@
     entries: BTreeMap<Name, Entry>,
     grace_until: Millis,
     /// Entries that were removed, and at which version of the platform's list.
-    removed: VecDeque<(u64, Gone)>,
+    removed: VecDeque<(u64, RemovedServer)>,
     /// The version of the platform's list from which on all changes are known.
     changes_from: u64,
     /// The version up to which this daemon has read the platform's list itself.
     read_to: u64,
-    /// See [`ServerList::is_doubtful`].
+    /// See [`ServerList::needs_full_list`].
     is_doubtful: bool,
 }
 
@@ -177,12 +177,12 @@
     }
 
     /// Every server that may still be there, and until when it is cold.
-    pub fn servers_with_cold(&self) -> impl Iterator<Item = (&ListedServer, Millis)> {
+    pub fn servers_with_cold_until(&self) -> impl Iterator<Item = (&ListedServer, Millis)> {
         self.entries.values().map(|entry| (&entry.server, entry.cold_until))
     }
 
     /// Takes in that the platform answers again after it was away.
-    pub fn platform_returned(&mut self, now: Millis) {
+    pub fn start_lapse_grace(&mut self, now: Millis) {
         self.grace_until = now + LAPSE_GRACE_MS;
     }
 
@@ -196,7 +196,7 @@
         if changes.whole {
             let missing: Vec<Name> = self.missing_from(&changes);
             for name in missing {
-                changed |= self.remove(now, at, Gone { name, started_ms: Millis::MAX });
+                changed |= self.remove(now, at, RemovedServer { name, started_ms: Millis::MAX });
             }
         }
         for gone in &changes.gone {
@@ -213,7 +213,8 @@
         }
         for name in changes.unreadable.iter().filter_map(|entry| entry.name.as_ref()) {
             // No grace: the platform has an entry, and it names no server.
-            changed |= self.erase(at, Gone { name: name.clone(), started_ms: Millis::MAX });
+            changed |=
+                self.erase(at, RemovedServer { name: name.clone(), started_ms: Millis::MAX });
         }
         for server in changes.put {
             changed |= self.put(now, at, server);
@@ -325,7 +326,7 @@
         true
     }
 
-    fn remove(&mut self, now: Millis, at: u64, gone: Gone) -> bool {
+    fn remove(&mut self, now: Millis, at: u64, gone: RemovedServer) -> bool {
         if now >= self.grace_until {
             return self.erase(at, gone);
         }
@@ -338,7 +339,7 @@
     }
 
     /// Removes an entry; peers may know a later start of it than this daemon, up to that of `gone`.
-    fn erase(&mut self, at: u64, gone: Gone) -> bool {
+    fn erase(&mut self, at: u64, gone: RemovedServer) -> bool {
         let is_known = self.entries.remove(&gone.name).is_some();
         if is_known {
             self.remember_removed(at, gone);
--- a/crates/core/src/server_list/news.rs
+++ b/crates/core/src/server_list/update.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Entry, Gone, ListVersion, ListedServer, ServerList, SharedServer};
+use super::{Entry, ListVersion, ListedServer, RemovedServer, ServerList, SharedServer};
 use crate::Millis;
 
 /// Removals that are remembered at most: some 60 bytes each, and more than half of 10,000
@@ -14,7 +14,7 @@
 
 /// What a daemon tells of its list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// All of it.
     Whole(Vec<SharedServer>),
     /// What changed.
@@ -24,7 +24,7 @@
         /// Entries that are new or have changed.
         put: Vec<SharedServer>,
         /// Entries that were removed.
-        gone: Vec<Gone>,
+        gone: Vec<RemovedServer>,
         /// [`ServerList::digest`] of the list after them.
         digest: u64,
     },
@@ -33,7 +33,11 @@
 impl ServerList {
     /// What a peer with this version has not seen, and this list's version; none when there is
     /// nothing.
-    pub fn news_above(&self, now: Millis, known: ListVersion) -> Option<(ListVersion, ListNews)> {
+    pub fn update_since(
+        &self,
+        now: Millis,
+        known: ListVersion,
+    ) -> Option<(ListVersion, ListUpdate)> {
         if self.version <= known {
             return None;
         }
@@ -41,13 +45,13 @@
         // number of them may differ.
         let has_drops = known.drops > 0 || self.version.drops > 0;
         if !known.is_some() || has_drops || known.at < self.changes_from {
-            return Some((self.version, ListNews::Whole(self.shared(now))));
+            return Some((self.version, ListUpdate::Whole(self.shared(now))));
         }
         // That an entry lapses has no version of the platform either.
         let is_news = |entry: &&Entry| entry.changed_at > known.at || entry.dropped_at.is_some();
         let changed = self.entries.values().filter(is_news);
         let removed = self.removed.iter().filter(|(at, _)| *at > known.at);
-        let news = ListNews::Changes {
+        let news = ListUpdate::Changes {
             since: known,
             put: changed.map(|entry| entry.shared(now)).collect(),
             gone: removed.map(|(_, gone)| gone.clone()).collect(),
@@ -64,23 +68,23 @@
 
     /// Whether changes that a peer told have not led to the peer's list: outages and lapses may
     /// hide some. The whole list is to be asked for.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn needs_full_list(&self) -> bool {
         self.is_doubtful
     }
 
     /// The version from which on this list is to be told news.
-    pub fn version_for_news(&self) -> ListVersion {
+    pub fn version_for_update(&self) -> ListVersion {
         if self.is_doubtful { ListVersion::default() } else { self.version }
     }
 
     /// Takes what a peer has told, if that is newer and follows on what is known; returns
     /// whether it was.
-    pub fn take_news(&mut self, now: Millis, version: ListVersion, news: ListNews) -> bool {
+    pub fn apply_update(&mut self, now: Millis, version: ListVersion, news: ListUpdate) -> bool {
         match news {
-            ListNews::Whole(servers) => self.adopt(now, version, servers),
-            ListNews::Changes { since, .. } if since != self.version || version <= since => false,
-            ListNews::Changes { .. } if self.has_read(version) => false,
-            ListNews::Changes { put, gone, digest, .. } => {
+            ListUpdate::Whole(servers) => self.adopt(now, version, servers),
+            ListUpdate::Changes { since, .. } if since != self.version || version <= since => false,
+            ListUpdate::Changes { .. } if self.has_read(version) => false,
+            ListUpdate::Changes { put, gone, digest, .. } => {
                 for gone in gone {
                     match self.started_ms(&gone.name) {
                         // Others may have seen it.
@@ -114,7 +118,7 @@
         self.entries.insert(entry.server.name.clone(), entry);
     }
 
-    pub(super) fn remember_removed(&mut self, at: u64, gone: Gone) {
+    pub(super) fn remember_removed(&mut self, at: u64, gone: RemovedServer) {
         self.removed.push_back((at, gone));
         while self.removed.len() > MOST_REMOVED
             && let Some((at, _)) = self.removed.pop_front()
--- a/crates/core/src/standing.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -55,7 +55,7 @@
 
 /// Where a daemon stands among those that could read the store for its hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct StoreReadPolicy {
     /// Peers of the hall that come before it.
     pub rank: usize,
     /// How many of a hall read for all of it.
@@ -70,7 +70,7 @@
     pub is_seed: bool,
 }
 
-impl Standing {
+impl StoreReadPolicy {
     /// Whether it reads the store for its hall.
     fn is_reader(&self) -> bool {
         let is_first = self.rank < self.readers;
@@ -97,14 +97,14 @@
 
     /// How much longer, in milliseconds, it leaves the store to others when what it knows is
     /// this old; none when it asks the store itself.
-    pub fn told_for(&self, view_age: Option<Millis>) -> Option<Millis> {
+    pub fn time_until_stale(&self, view_age: Option<Millis>) -> Option<Millis> {
         let left = self.stale_after()?.checked_sub(view_age?)?;
         (left > 0).then_some(left)
     }
 
     /// How long after its start it waits to be handed what the store would tell, in
     /// milliseconds; 0 when it reads at once.
-    pub fn start_patience(&self) -> Millis {
+    pub fn startup_wait(&self) -> Millis {
         if !self.has_seeds || self.is_seed {
             return 0;
         }
@@ -117,7 +117,7 @@
 
     /// Pause after so many `failures` in a row to look at the store, in milliseconds.
     /// `spread`, from 0 to 1, keeps those apart that lost it together.
-    pub fn probe_pause(&self, failures: u32, spread: f64) -> Millis {
+    pub fn probe_interval(&self, failures: u32, spread: f64) -> Millis {
         if self.is_reader() || failures < AWAY_AFTER {
             return READER_PROBE_MS;
         }
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -31,11 +31,11 @@
 
 /// The marks that this daemon keeps for others.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Marks {
+pub struct WitnessMarks {
     marks: HashMap<Incarnation, HashMap<Name, Mark>>,
 }
 
-impl Marks {
+impl WitnessMarks {
     /// Agrees that `holder` opens its grant up to the cumulative sum `opened`;
     /// false when the holder is closed.
     pub fn open(&mut self, holder: Incarnation, budget: &Name, opened: Tokens) -> bool {
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -1,7 +1,7 @@
 //! Servers that leave or rest: what one daemon remembers, and what the router makes of it.
 
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::hints::{Closed, LeavingFact, LeavingStarts, Rests};
+use bankcove_core::hints::{Closed, LeavingFact, LeavingServers, RestPeriods};
 use bankcove_core::router::{LoadReport, Router, ServerView};
 use bankcove_core::table::{Server, Table};
 use bankcove_core::{Millis, Name};
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_start_leaves_for_good_and_another_one_does_not() {
-    let mut leaving = LeavingStarts::default();
+    let mut leaving = LeavingServers::default();
     assert!(leaving.add(1_000, &start("a", 7), 0));
     assert!(!leaving.add(2_000, &start("a", 7), 0), "it is known");
     leaving.forget_old(LONG, |_| true);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_start_is_forgotten_some_time_after_it_is_no_longer_listed_and_not_at_once() {
-    let mut leaving = LeavingStarts::default();
+    let mut leaving = LeavingServers::default();
     leaving.add(0, &start("a", 7), 0);
     leaving.forget_old(60_000, |_| false);
     assert!(leaving.contains(&start("a", 7)), "a list that lags may bring it back");
@@ -41,7 +41,7 @@
 
 #[test]
 fn what_was_forgotten_is_not_brought_back_by_peers_unless_it_is_listed() {
-    let mut leaving = LeavingStarts::default();
+    let mut leaving = LeavingServers::default();
     let old = fact(&start("a", 7), LONG);
     assert!(leaving.merge(LONG, std::slice::from_ref(&old), |_| false).is_empty());
     assert_eq!(leaving.merge(LONG, std::slice::from_ref(&old), |_| true), [old]);
@@ -49,7 +49,7 @@
 
 #[test]
 fn daemons_that_know_the_same_starts_have_the_same_digest_whatever_the_order() {
-    let (mut one, mut other) = (LeavingStarts::default(), LeavingStarts::default());
+    let (mut one, mut other) = (LeavingServers::default(), LeavingServers::default());
     let facts = [fact(&start("a", 1), 5), fact(&start("b", 2), 900), fact(&start("a", 2), 0)];
     one.merge(1_000, &facts, |_| true);
     let told = one.facts(4_000, usize::MAX, 1);
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_shorter_rest_does_not_end_a_longer_one() {
-    let (mut rests, server) = (Rests::default(), start("a", 7));
+    let (mut rests, server) = (RestPeriods::default(), start("a", 7));
     assert_eq!(rests.observe(1_000, &server, 5_000), Some(6_000));
     assert_eq!(rests.observe(2_000, &server, 1_000), None);
     assert_eq!(rests.observe(3_000, &server, 4_000), Some(7_000));
@@ -71,7 +71,7 @@
 
 #[test]
 fn an_endless_rest_lasts_until_the_start_is_gone() {
-    let (mut rests, server) = (Rests::default(), start("a", 7));
+    let (mut rests, server) = (RestPeriods::default(), start("a", 7));
     rests.observe(1_000, &server, Millis::MAX);
     rests.forget_old(LONG, |_| true);
     assert_eq!(rests.end(&server), Millis::MAX);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use bankcove_core::holder::{Draw, Holder, Keeps, Reservation, Terms};
 use bankcove_core::owner::{Command, Event, HolderRef, Owner, Reply, Request, WRITE_INTERVAL_MS};
 use bankcove_core::shard::Shard;
-use bankcove_core::witness::{Marks, Witness};
+use bankcove_core::witness::{Witness, WitnessMarks};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
 pub const BUDGET: &str = "main";
@@ -50,7 +50,7 @@
     pub dead: Vec<bool>,
     owners: Vec<Owner>,
     holders: Vec<Holder>,
-    marks: Vec<Marks>,
+    marks: Vec<WitnessMarks>,
 }
 
 impl World {
@@ -63,7 +63,7 @@
             tokens,
             stored: (0, Shard::default()),
             dead: vec![false; daemons as usize],
-            marks: vec![Marks::default(); daemons as usize],
+            marks: vec![WitnessMarks::default(); daemons as usize],
             owners: (0..daemons).map(owner).collect(),
             holders: (0..daemons).map(|n| Holder::new(Incarnation(n))).collect(),
         }
--- a/crates/core/tests/events.rs
+++ b/crates/core/tests/events.rs
@@ -1,6 +1,6 @@
 //! Events of a stream: where one ends, and which one comes next.
 
-use bankcove_core::events::{EventSplitter, Order, Verdict};
+use bankcove_core::events::{EventAction, EventSequence, EventSplitter};
 use yare::parameterized;
 
 #[test]
@@ -21,17 +21,21 @@
 }
 
 #[parameterized(
-    first = { None, Some(7), Verdict::Deliver },
-    next = { Some(7), Some(8), Verdict::Deliver },
-    repeat = { Some(7), Some(7), Verdict::Repeat },
-    older = { Some(7), Some(3), Verdict::Repeat },
-    gap = { Some(7), Some(9), Verdict::Gap },
-    unnumbered = { Some(7), None, Verdict::Deliver },
+    first = { None, Some(7), EventAction::Deliver },
+    next = { Some(7), Some(8), EventAction::Deliver },
+    repeat = { Some(7), Some(7), EventAction::Duplicate },
+    older = { Some(7), Some(3), EventAction::Duplicate },
+    gap = { Some(7), Some(9), EventAction::Gap },
+    unnumbered = { Some(7), None, EventAction::Deliver },
 )]
-fn an_event_is_delivered_once_and_in_order(last: Option<u64>, id: Option<u64>, expected: Verdict) {
-    let mut order = Order::after(last);
+fn an_event_is_delivered_once_and_in_order(
+    last: Option<u64>,
+    id: Option<u64>,
+    expected: EventAction,
+) {
+    let mut order = EventSequence::after(last);
     assert_eq!(order.accept(id), expected);
-    if expected != Verdict::Deliver {
+    if expected != EventAction::Deliver {
         assert_eq!(order.last(), last);
     }
 }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -6,21 +6,21 @@
 fn a_view_is_as_old_as_its_older_half() {
     let mut view = Freshness::default();
     assert_eq!(view.age(1_000), None);
-    view.table_read(1_000);
+    view.record_table_read(1_000);
     assert_eq!(view.age(1_000), None);
-    view.servers_read(3_000);
+    view.record_servers_read(3_000);
     assert_eq!(view.age(3_500), Some(2_500));
-    view.table_read(3_400);
+    view.record_table_read(3_400);
     assert_eq!(view.age(3_500), Some(500));
 }
 
 #[test]
 fn who_has_caught_up_with_a_peer_is_as_current_as_the_peer() {
     let mut view = Freshness::default();
-    view.caught_up(10_000, 400);
+    view.record_peer_sync(10_000, 400);
     assert_eq!(view.age(10_000), Some(400));
     // An older word of another peer takes nothing back.
-    view.caught_up(10_100, 2_000);
+    view.record_peer_sync(10_100, 2_000);
     assert_eq!(view.age(10_100), Some(500));
 }
 
@@ -28,7 +28,7 @@
 fn a_view_that_nobody_told_is_older_than_any_limit() {
     let mut view = Freshness::default();
     assert!(view.is_older_than(1_000_000, 10));
-    view.caught_up(10, 0);
+    view.record_peer_sync(10, 0);
     assert!(!view.is_older_than(100, 110));
     assert!(view.is_older_than(100, 111));
 }
--- a/crates/core/tests/freshness_by_word.rs
+++ b/crates/core/tests/freshness_by_gossip.rs
@@ -25,8 +25,8 @@
 fn youngest(asked_first: bool, until: Millis) -> Millis {
     let mut views = vec![Freshness::default(); DAEMONS];
     for view in &mut views {
-        view.table_read(1_000);
-        view.servers_read(1_000);
+        view.record_table_read(1_000);
+        view.record_servers_read(1_000);
     }
     for round in 0..(until - 1_000) / BEAT_MS {
         let asked_at = 1_000 + round * BEAT_MS;
@@ -36,7 +36,7 @@
                 let told_at = asked_at + under_way(n, peer, round as usize);
                 let heard_at = told_at + under_way(peer, n, round as usize);
                 let Some(age) = views[peer].age(told_at) else { continue };
-                views[n].caught_up(if asked_first { asked_at } else { heard_at }, age);
+                views[n].record_peer_sync(if asked_first { asked_at } else { heard_at }, age);
             }
         }
     }
--- a/crates/core/tests/hints.rs
+++ b/crates/core/tests/hints.rs
@@ -1,6 +1,6 @@
 //! What servers may say of themselves: that they leave, and for how long they want rest.
 
-use bankcove_core::hints::{Hint, read_leaving, read_rest};
+use bankcove_core::hints::{Hint, read_leaving, read_retry_after};
 use yare::parameterized;
 
 /// `Date` of an answer, and an instant 90 s later.
@@ -39,10 +39,10 @@
     past = { &["Thu, 03 Dec 2026 07:00:00 GMT"], Hint::Absent },
 )]
 fn a_rest_is_read(values: &[&'static str], hint: Hint<u64>) {
-    assert_eq!(read_rest(values.iter().copied(), Some(DATE)), hint);
+    assert_eq!(read_retry_after(values.iter().copied(), Some(DATE)), hint);
 }
 
 #[test]
 fn a_date_says_nothing_without_the_date_of_its_answer() {
-    assert_eq!(read_rest([LATER], None), Hint::Unreadable(LATER.to_owned()));
+    assert_eq!(read_retry_after([LATER], None), Hint::Unreadable(LATER.to_owned()));
 }
--- a/crates/core/tests/holder.rs
+++ b/crates/core/tests/holder.rs
@@ -1,7 +1,7 @@
 //! What one daemon holds: sealed and open grants, transfers, late answers.
 
 use bankcove_core::holder::Holder;
-use bankcove_core::witness::{Marks, Witness};
+use bankcove_core::witness::{Witness, WitnessMarks};
 use bankcove_core::{Incarnation, Name};
 
 fn budget() -> Name {
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_closed_holder_is_told_so_for_each_budget_alone() {
-    let mut marks = Marks::default();
+    let mut marks = WitnessMarks::default();
     assert!(marks.open(Incarnation(1), &budget(), 40));
     assert_eq!(marks.close(Incarnation(1), &budget()), 40);
     assert!(!marks.open(Incarnation(1), &budget(), 50));
--- a/crates/core/tests/list_changes.rs
+++ b/crates/core/tests/list_changes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bankcove_core::server_list::{
-    Gone, LAPSE_GRACE_MS, ListNews, ListedServer, ServerChanges, ServerList,
+    LAPSE_GRACE_MS, ListUpdate, ListedServer, RemovedServer, ServerChanges, ServerList,
 };
 use bankcove_core::{Millis, Name};
 use proptest::prelude::*;
@@ -107,7 +107,7 @@
             Step::Remove(n) => self.change(n, None),
             Step::Watch(n) => self.watch(n),
             Step::Return(n) => {
-                self.lists[n].platform_returned(self.now);
+                self.lists[n].start_lapse_grace(self.now);
                 self.read(n, true);
             }
             Step::Ask(to, from) => self.ask(to, from),
@@ -141,7 +141,7 @@
                 match (self.entries.get(&n), gone) {
                     (Some(entry), _) => changes.put.push(listed((&n, entry))),
                     (None, Some(started_ms)) => {
-                        changes.gone.push(Gone { name: name(n), started_ms })
+                        changes.gone.push(RemovedServer { name: name(n), started_ms })
                     }
                     (None, None) => {}
                 }
@@ -155,23 +155,25 @@
         // A list that is in doubt is asked for as a whole at once.
         for _ in 0..2 {
             self.ask_once(to, from);
-            if !self.lists[to].is_doubtful() {
+            if !self.lists[to].needs_full_list() {
                 return;
             }
         }
     }
 
     fn ask_once(&mut self, to: usize, from: usize) {
-        if self.lists[from].version() <= self.lists[to].version() && !self.lists[to].is_doubtful() {
+        if self.lists[from].version() <= self.lists[to].version()
+            && !self.lists[to].needs_full_list()
+        {
             return;
         }
-        let known = self.lists[to].version_for_news();
-        let Some((version, news)) = self.lists[from].news_above(self.now, known) else { return };
+        let known = self.lists[to].version_for_update();
+        let Some((version, news)) = self.lists[from].update_since(self.now, known) else { return };
         match news {
-            ListNews::Whole(_) => self.whole += 1,
-            ListNews::Changes { .. } => self.changes += 1,
+            ListUpdate::Whole(_) => self.whole += 1,
+            ListUpdate::Changes { .. } => self.changes += 1,
         }
-        self.lists[to].take_news(self.now, version, news);
+        self.lists[to].apply_update(self.now, version, news);
     }
 
     fn settle(&mut self) {
@@ -218,8 +220,8 @@
     world.run(Step::Put(2, true));
     world.run(Step::Watch(0));
     let known = world.lists[3].version();
-    let told = world.lists[0].news_above(world.now, known).expect("there is news").1;
-    let ListNews::Changes { put, gone, .. } = told else { panic!("the whole list is told") };
+    let told = world.lists[0].update_since(world.now, known).expect("there is news").1;
+    let ListUpdate::Changes { put, gone, .. } = told else { panic!("the whole list is told") };
     assert_eq!((put.len(), gone.len()), (1, 0));
     // Whoever was told passes it on in the same way.
     world.ask(3, 0);
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -20,7 +20,7 @@
 fn fleet(me: usize, daemons: usize) -> Members {
     let mut members = Members::new(host(me).name);
     let hosts: Vec<Host> = (0..daemons).map(host).collect();
-    members.host_list(&hosts);
+    members.apply_host_list(&hosts);
     members
 }
 
@@ -30,7 +30,7 @@
 
 fn fail(members: &mut Members, name: &Name) {
     for _ in 0..2 {
-        members.failed(name);
+        members.record_failure(name);
     }
 }
 
@@ -51,7 +51,7 @@
         crashes_digest: 0,
         hints_digest: 0,
     };
-    members.heard(0, &heartbeat);
+    members.record_heartbeat(0, &heartbeat);
 }
 
 fn usable(members: &Members) -> Vec<Name> {
@@ -62,7 +62,7 @@
 fn a_list_that_has_not_caught_up_hides_no_peer_that_speaks() {
     let mut members = fleet(0, 1);
     speaks(&mut members, 1, 1);
-    members.host_list(&[host(0)]);
+    members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [host(1).name]);
 }
 
@@ -70,9 +70,9 @@
 fn a_list_that_has_not_caught_up_with_a_new_start_hides_it_neither() {
     let mut members = fleet(0, 2);
     speaks(&mut members, 1, 1);
-    members.host_list(&[host(0), host(1)]);
+    members.apply_host_list(&[host(0), host(1)]);
     speaks(&mut members, 1, 2);
-    members.host_list(&[host(0)]);
+    members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [host(1).name]);
 }
 
@@ -80,8 +80,8 @@
 fn a_peer_that_the_list_no_longer_has_is_not_asked() {
     let mut members = fleet(0, 2);
     speaks(&mut members, 1, 1);
-    members.host_list(&[host(0), host(1)]);
-    members.host_list(&[host(0)]);
+    members.apply_host_list(&[host(0), host(1)]);
+    members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [] as [Name; 0]);
 }
 
@@ -139,7 +139,7 @@
 
 #[test]
 fn ranks_of_readers_differ_within_a_hall() {
-    let rank = |me| fleet(me, 30).reader_rank(&host(me).hall);
+    let rank = |me| fleet(me, 30).store_reader_rank(&host(me).hall);
     let ranks: HashSet<usize> = (0..30).step_by(3).map(rank).collect();
     assert_eq!(ranks, (0..10).collect());
 }
@@ -166,7 +166,7 @@
         crashes_digest: 0,
         hints_digest: 0,
     };
-    members.heard(1, &heartbeat);
-    members.forgive();
+    members.record_heartbeat(1, &heartbeat);
+    members.clear_failures();
     assert_eq!(members.usable().count(), 19);
 }
--- a/crates/core/tests/places.rs
+++ b/crates/core/tests/places.rs
@@ -4,7 +4,7 @@
 use bankcove_core::hall_list::{EvacuatedHalls, HallChanges, HallList};
 use bankcove_core::router::{Homes, LoadReport, NoServer, Router, Unread, UnreadNews, Wanted};
 use bankcove_core::server_list::{
-    Gone, ListVersion, ListedServer, ServerChanges, ServerList, SharedServer,
+    ListVersion, ListedServer, RemovedServer, ServerChanges, ServerList, SharedServer,
 };
 use bankcove_core::table::{ServerState, Table};
 use bankcove_core::{Incarnation, Millis};
@@ -103,8 +103,8 @@
         for (at, halls) in &told {
             let halls = halls.iter().map(|n| Name::from(HALLS[*n])).collect();
             list.adopt(*at, EvacuatedHalls { at: *at, halls });
-            prop_assert!(list.told().at >= newest);
-            newest = list.told().at;
+            prop_assert!(list.evacuated().at >= newest);
+            newest = list.evacuated().at;
         }
         prop_assert_eq!(newest, told.iter().map(|(at, _)| *at).max().unwrap_or_default());
     }
@@ -120,11 +120,11 @@
         ..HallChanges::default()
     };
     assert!(!list.apply(0, whole(3, &[])));
-    assert_eq!(list.told().at, 3, "an empty list is a list");
+    assert_eq!(list.evacuated().at, 3, "an empty list is a list");
     let added = HallChanges { at: 5, evacuated: names(&["hall-1"]), ..HallChanges::default() };
     assert!(list.apply(10, added));
     assert!(!list.apply(11, HallChanges { at: 7, ..HallChanges::default() }));
-    assert_eq!(list.told().at, 5);
+    assert_eq!(list.evacuated().at, 5);
     let back = HallChanges { at: 9, reopened: names(&["hall-1"]), ..HallChanges::default() };
     assert!(list.apply(20, back));
     assert_eq!(list.reopened_at(&Name::from("hall-1")), Some(20));
@@ -159,7 +159,7 @@
     assert!(!list.apply(1, put(2, ListedServer { draining: true, ..listed(1_000) })));
     let gone = |started_ms| ServerChanges {
         at: 3,
-        gone: vec![Gone { name: Name::from("s1"), started_ms }],
+        gone: vec![RemovedServer { name: Name::from("s1"), started_ms }],
         ..ServerChanges::default()
     };
     assert!(!list.apply(2, gone(1_000)));
@@ -175,7 +175,7 @@
 fn how_long_a_server_is_cold_counts_from_when_it_said_so() {
     let mut list = ServerList::default();
     let cold = ListedServer { cold_for_ms: 3_000, ..listed(1) };
-    let until = |list: &ServerList| list.servers_with_cold().map(|(_, until)| until).next();
+    let until = |list: &ServerList| list.servers_with_cold_until().map(|(_, until)| until).next();
     list.apply(100, put(1, cold.clone()));
     assert_eq!(until(&list), Some(3_100));
     // The same entry once more, as in a list that is read anew, says nothing new.
@@ -200,7 +200,7 @@
     assert_eq!(list.version().at, 1);
     assert!(list.apply(9_000, put(4, cold(3_000))), "it has turned cold again");
     assert!(list.apply(9_500, put(5, cold(0))), "it is warm earlier than it said");
-    assert_eq!(list.servers_with_cold().map(|(_, until)| until).next(), Some(9_500));
+    assert_eq!(list.servers_with_cold_until().map(|(_, until)| until).next(), Some(9_500));
     assert!(list.apply(9_600, put(6, ListedServer { draining: true, ..cold(0) })));
 }
 
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -2,8 +2,8 @@
 
 use bankcove_core::Name;
 use bankcove_core::server_list::{
-    Gone, LAPSE_GRACE_MS, ListVersion, ListedServer, ServerChanges, ServerList, SharedServer,
-    Unreadable,
+    LAPSE_GRACE_MS, ListVersion, ListedServer, RemovedServer, ServerChanges, ServerList,
+    SharedServer, Unreadable,
 };
 
 fn server(name: &str, draining: bool) -> ListedServer {
@@ -35,7 +35,7 @@
 fn gone(at: u64, name: &str) -> ServerChanges {
     ServerChanges {
         at,
-        gone: vec![Gone { name: Name::from(name), started_ms: 0 }],
+        gone: vec![RemovedServer { name: Name::from(name), started_ms: 0 }],
         ..ServerChanges::default()
     }
 }
@@ -64,7 +64,7 @@
 fn an_entry_that_lapsed_in_an_outage_stays_until_the_grace_is_over() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.platform_returned(10_000);
+    list.start_lapse_grace(10_000);
     list.apply(10_000, whole(9, &["b"]));
     assert_eq!(names(&list), ["a", "b"]);
     assert!(!list.drop_lapsed(10_000 + LAPSE_GRACE_MS - 1));
@@ -76,7 +76,7 @@
 fn peers_hear_of_an_entry_that_lapsed_for_good() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.platform_returned(10_000);
+    list.start_lapse_grace(10_000);
     list.apply(10_000, whole(9, &["b"]));
     assert_eq!(list.version(), version(5, 0));
     assert_eq!(list.next_drop(10_500), Some(LAPSE_GRACE_MS - 500));
@@ -88,7 +88,7 @@
 fn an_entry_that_is_back_within_the_grace_stays() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
-    list.platform_returned(10_000);
+    list.start_lapse_grace(10_000);
     list.apply(10_000, gone(9, "a"));
     list.apply(10_500, ServerChanges { at: 10, put: vec![server("a", false)], ..gone(10, "x") });
     assert!(!list.drop_lapsed(10_000 + LAPSE_GRACE_MS));
@@ -103,7 +103,7 @@
     list.apply(1, ServerChanges { unreadable: vec![broken], ..whole(6, &["b"]) });
     assert_eq!(names(&list), ["b"]);
     // No grace either: the platform has an entry, and it names nobody.
-    list.platform_returned(1);
+    list.start_lapse_grace(1);
     let broken = Unreadable { name: Some(Name::from("b")), problem: "no address".to_owned() };
     assert!(list.apply(2, ServerChanges { unreadable: vec![broken], at: 7, ..Default::default() }));
     assert!(names(&list).is_empty());
@@ -152,7 +152,7 @@
 fn peers_at_the_same_version_of_the_platform_hear_of_a_drop() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.platform_returned(10_000);
+    list.start_lapse_grace(10_000);
     list.apply(10_000, ServerChanges { put: vec![server("c", false)], ..gone(9, "a") });
     let mut peer = ServerList::default();
     peer.apply(0, whole(5, &["a", "b"]));
--- a/crates/core/tests/standing.rs
+++ b/crates/core/tests/store_read_policy.rs
@@ -6,7 +6,7 @@
 //! started (629 and 654 calls of the users' 295 daemons; 46 and 178 since then).
 
 use bankcove_core::Millis;
-use bankcove_core::standing::Standing;
+use bankcove_core::store_read_policy::StoreReadPolicy;
 use yare::parameterized;
 
 const HALLS: usize = 5;
@@ -20,8 +20,8 @@
 /// What a daemon did before: one look each 200 ms.
 const CALLS_BEFORE: u64 = 13_275;
 
-fn standing(rank: usize) -> Standing {
-    Standing {
+fn policy(rank: usize) -> StoreReadPolicy {
+    StoreReadPolicy {
         rank,
         readers: READERS,
         fleet: Some(HALLS * HALL_SIZE),
@@ -32,11 +32,11 @@
 }
 
 /// Looks of one daemon in an outage; `spreads` are the random parts of its pauses.
-fn looks(standing: &Standing, spreads: &[f64]) -> u64 {
+fn looks(policy: &StoreReadPolicy, spreads: &[f64]) -> u64 {
     let mut at = 0;
     let mut looks = 0;
     for spread in spreads.iter().cycle() {
-        at += standing.probe_pause(LOST, *spread);
+        at += policy.probe_interval(LOST, *spread);
         if at > OUTAGE_MS {
             break;
         }
@@ -47,15 +47,15 @@
 
 #[test]
 fn an_outage_is_looked_at_by_a_few_of_each_hall() {
-    let calls = |rank| looks(&standing(rank), &[0.1, 0.9, 0.5, 0.3]);
+    let calls = |rank| looks(&policy(rank), &[0.1, 0.9, 0.5, 0.3]);
     let in_all: u64 = (0..HALL_SIZE).map(calls).sum::<u64>() * HALLS as u64;
     assert!(in_all * 4 < CALLS_BEFORE, "{in_all} calls");
 }
 
 #[test]
 fn a_reader_looks_often_enough_to_tell_of_a_return_at_once() {
-    assert!(standing(0).probe_pause(LOST, 1.0) <= 200);
-    assert!(standing(READERS - 1).probe_pause(LOST, 1.0) <= 200);
+    assert!(policy(0).probe_interval(LOST, 1.0) <= 200);
+    assert!(policy(READERS - 1).probe_interval(LOST, 1.0) <= 200);
 }
 
 /// Symptom: on a day of 87 hosts one that reached the store all the time refused a request
@@ -63,41 +63,41 @@
 /// waited for up to 3 s, on top of the 3 s after which it looks at all; hosts have 3 s.
 #[test]
 fn who_is_told_by_nobody_looks_again_within_half_of_the_time_that_hosts_have() {
-    assert!(standing(HALL_SIZE).probe_pause(LOST, 1.0) <= 1_500);
+    assert!(policy(HALL_SIZE).probe_interval(LOST, 1.0) <= 1_500);
 }
 
 #[test]
 fn one_look_that_failed_says_little() {
-    assert!(standing(HALL_SIZE).probe_pause(1, 1.0) <= 200);
+    assert!(policy(HALL_SIZE).probe_interval(1, 1.0) <= 200);
 }
 
 #[test]
 fn before_the_list_is_seen_the_peers_of_the_settings_look() {
-    let unlisted = Standing { fleet: None, ..standing(0) };
-    assert!(unlisted.probe_pause(LOST, 0.5) >= 1_000);
-    let seed = Standing { is_seed: true, ..unlisted };
-    assert!(seed.probe_pause(LOST, 0.5) <= 200);
-    let alone = Standing { has_seeds: false, ..unlisted };
-    assert!(alone.probe_pause(LOST, 0.5) <= 200);
+    let unlisted = StoreReadPolicy { fleet: None, ..policy(0) };
+    assert!(unlisted.probe_interval(LOST, 0.5) >= 1_000);
+    let seed = StoreReadPolicy { is_seed: true, ..unlisted };
+    assert!(seed.probe_interval(LOST, 0.5) <= 200);
+    let alone = StoreReadPolicy { has_seeds: false, ..unlisted };
+    assert!(alone.probe_interval(LOST, 0.5) <= 200);
 }
 
 #[parameterized(
-    a_reader_of_a_known_fleet = { standing(0), 0 },
-    a_seed = { Standing { is_seed: true, fleet: None, ..standing(9) }, 0 },
-    a_daemon_of_a_small_fleet = { Standing { fleet: Some(8), ..standing(2) }, 0 },
-    one_whose_settings_name_nobody = { Standing { has_seeds: false, fleet: None, ..standing(9) }, 0 },
-    another_of_a_known_fleet = { standing(READERS), 350 },
-    the_last_of_a_known_fleet = { standing(HALL_SIZE), 800 },
-    one_of_a_fleet_that_starts = { Standing { fleet: None, ..standing(0) }, 1_800 },
+    a_reader_of_a_known_fleet = { policy(0), 0 },
+    a_seed = { StoreReadPolicy { is_seed: true, fleet: None, ..policy(9) }, 0 },
+    a_daemon_of_a_small_fleet = { StoreReadPolicy { fleet: Some(8), ..policy(2) }, 0 },
+    one_whose_settings_name_nobody = { StoreReadPolicy { has_seeds: false, fleet: None, ..policy(9) }, 0 },
+    another_of_a_known_fleet = { policy(READERS), 350 },
+    the_last_of_a_known_fleet = { policy(HALL_SIZE), 800 },
+    one_of_a_fleet_that_starts = { StoreReadPolicy { fleet: None, ..policy(0) }, 1_800 },
 )]
-fn a_start_waits_for_peers(standing: Standing, patience: Millis) {
-    assert_eq!(standing.start_patience(), patience);
+fn a_start_waits_for_peers(policy: StoreReadPolicy, patience: Millis) {
+    assert_eq!(policy.startup_wait(), patience);
 }
 
 #[test]
 fn a_few_step_in_for_readers_that_are_gone_not_all_at_once() {
-    assert_eq!(standing(0).stale_after(), None);
-    let limits: Vec<_> = (READERS..READERS + 5).map(|rank| standing(rank).stale_after()).collect();
+    assert_eq!(policy(0).stale_after(), None);
+    let limits: Vec<_> = (READERS..READERS + 5).map(|rank| policy(rank).stale_after()).collect();
     assert!(limits.windows(2).all(|pair| pair[0] < pair[1]), "{limits:?}");
 }
 
@@ -115,19 +115,19 @@
 #[test]
 fn a_daemon_whose_readers_are_all_cut_off_asks_before_a_change_is_due() {
     for rank in READERS..HALL_SIZE {
-        let standing = standing(rank);
-        let told_for = standing.told_for(Some(0)).expect("peers tell it");
-        assert!(told_for + TAKE_MS <= IN_FORCE_MS, "rank {rank}: {told_for}");
+        let policy = policy(rank);
+        let time_until_stale = policy.time_until_stale(Some(0)).expect("peers tell it");
+        assert!(time_until_stale + TAKE_MS <= IN_FORCE_MS, "rank {rank}: {time_until_stale}");
         // It looks again when the word of its peers has become too old, not later.
-        for age in (0..told_for).step_by(50) {
-            assert_eq!(standing.told_for(Some(age)), Some(told_for - age));
+        for age in (0..time_until_stale).step_by(50) {
+            assert_eq!(policy.time_until_stale(Some(age)), Some(time_until_stale - age));
         }
-        assert_eq!(standing.told_for(Some(told_for)), None);
-        assert_eq!(standing.told_for(None), None);
+        assert_eq!(policy.time_until_stale(Some(time_until_stale)), None);
+        assert_eq!(policy.time_until_stale(None), None);
     }
 }
 
 #[test]
 fn readers_are_told_by_nobody() {
-    assert_eq!(standing(0).told_for(Some(0)), None);
+    assert_eq!(policy(0).time_until_stale(Some(0)), None);
 }
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bankcove_core::hints::{Hint, ServerHints, read_leaving, read_rest};
-use bankcove_core::lifecycle::NothingRan;
+use bankcove_core::hints::{Hint, ServerHints, read_leaving, read_retry_after};
+use bankcove_core::lifecycle::NotExecuted;
 use bankcove_core::limits::LimitWord;
 use bankcove_core::router::{Choice, LoadReport};
 use bankcove_core::table::ServerKind;
@@ -32,11 +32,11 @@
 #[derive(Debug)]
 pub enum DispatchError {
     /// The permit came too late; the server has failed nothing.
-    NotSent(NothingRan),
+    NotSent(NotExecuted),
     /// Nothing ran there.
     NothingRan {
         /// What proves it.
-        proof: NothingRan,
+        proof: NotExecuted,
         /// Whether the server said that it is leaving.
         leaving: bool,
     },
@@ -100,7 +100,7 @@
     kind: ServerKind,
 ) -> Result<Response, DispatchError> {
     let Ok(choice) = permit.spend() else {
-        return Err(DispatchError::NotSent(NothingRan::never_sent()));
+        return Err(DispatchError::NotSent(NotExecuted::never_sent()));
     };
     let asked_at = api.requests.base.clock.now();
     let url = format!("http://{}{}", choice.address, outgoing.path);
@@ -110,7 +110,7 @@
     let res = match req.send().await {
         Ok(res) => res,
         Err(e) if e.is_connect() => {
-            let proof = NothingRan::connection_failed();
+            let proof = NotExecuted::connection_failed();
             return Err(DispatchError::NothingRan { proof, leaving: false });
         }
         Err(_) => return Err(DispatchError::Unknown),
@@ -122,7 +122,7 @@
     }
     match res.json::<Refusal>().await {
         Ok(refusal) if !refusal.error.ran => Err(DispatchError::NothingRan {
-            proof: NothingRan::refused_by_server(),
+            proof: NotExecuted::refused_by_server(),
             leaving: refusal.error.code == "leaving",
         }),
         _ => Err(DispatchError::Unknown),
@@ -145,7 +145,7 @@
         values.map(|value| value.to_str().unwrap_or("?"))
     };
     let asks_for_rest = res.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let rest = || read_rest(values(RETRY_AFTER.as_str()), values(DATE.as_str()).next());
+    let rest = || read_retry_after(values(RETRY_AFTER.as_str()), values(DATE.as_str()).next());
     ServerHints {
         limit: LimitWord::read(values(LIMIT_HEADER)),
         leaving: read_leaving(values(LEAVING_HEADER)),
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -162,7 +162,7 @@
                 return Ok(Placed { attempt: dispatched, choice, res, open, fingerprint });
             }
             Err(DispatchError::NotSent(proof)) => {
-                attempt = dispatched.back_out(proof);
+                attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
             Err(DispatchError::NothingRan { proof, leaving }) => {
@@ -171,7 +171,7 @@
                     let now = api.requests.base.clock.now();
                     api.requests.router.lock().said_leaving(now, &choice.server, choice.started_ms);
                 }
-                attempt = dispatched.back_out(proof);
+                attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
             Err(DispatchError::Unknown) => {
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -35,7 +35,7 @@
             // The owner may be cut off from the store alone.
             Some(Outcome::StoreAway) => {}
             Some(outcome) => return outcome,
-            None => billing.fleet.members.lock().failed(&owner.name),
+            None => billing.fleet.members.lock().record_failure(&owner.name),
         }
     }
     submit_here(billing, entry).await
--- a/crates/daemon/src/budget/ask.rs
+++ b/crates/daemon/src/budget/ask.rs
@@ -36,14 +36,14 @@
         "took_ms" => budgets.fleet.base.clock.now().saturating_sub(now));
     match answer {
         Some(AllotAnswer::Allotted(allotted)) => {
-            budgets.fleet.members.lock().answered(&owner.name, allotted.owner);
+            budgets.fleet.members.lock().record_answer(&owner.name, allotted.owner);
             budgets.holder().allotted(&budget.name, allotted, now);
             Some(Ok(()))
         }
         Some(AllotAnswer::Refused(refusal)) if refusal.store_away => None,
         Some(AllotAnswer::Refused(refusal)) => Some(Err(refusal)),
         None => {
-            budgets.fleet.members.lock().failed(&owner.name);
+            budgets.fleet.members.lock().record_failure(&owner.name);
             None
         }
     }
--- a/crates/daemon/src/budget/borrow.rs
+++ b/crates/daemon/src/budget/borrow.rs
@@ -33,7 +33,7 @@
     if budgets.fleet.base.cfg.limits.witnesses > 0 || budgets.fleet.contact.is_alone() {
         return false;
     }
-    let lenders = budgets.fleet.members.lock().some(LENDERS, rand::random());
+    let lenders = budgets.fleet.members.lock().sample(LENDERS, rand::random());
     let mut borrowed = 0;
     for round in 0..ROUNDS {
         if lenders.is_empty() || borrowed >= missing {
@@ -66,7 +66,7 @@
     match budgets.fleet.base.peers.call(&peer.address, timeout, call).await {
         Some(lent) => budgets.holder().lent(&budget.name, lent),
         None => {
-            budgets.fleet.members.lock().failed(&peer.name);
+            budgets.fleet.members.lock().record_failure(&peer.name);
             0
         }
     }
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use bankcove_core::holder::Holder;
 use bankcove_core::table::Table;
-use bankcove_core::witness::Marks;
+use bankcove_core::witness::WitnessMarks;
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 use bankcove_ports::Store;
 use parking_lot::Mutex;
@@ -59,7 +59,7 @@
     ahead: Mutex<HashMap<Name, DrawAhead>>,
     /// Holders that did not answer a collection, and until when they are left out.
     pub silent: Mutex<HashMap<Incarnation, Millis>>,
-    marks: Mutex<Marks>,
+    marks: Mutex<WitnessMarks>,
 }
 
 impl Budgets {
@@ -83,7 +83,7 @@
             draws: Mutex::new(HashMap::new()),
             ahead: Mutex::new(HashMap::new()),
             silent: Mutex::new(HashMap::new()),
-            marks: Mutex::new(Marks::default()),
+            marks: Mutex::new(WitnessMarks::default()),
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// What this daemon attests for others.
-    pub fn marks(&self) -> parking_lot::MutexGuard<'_, Marks> {
+    pub fn marks(&self) -> parking_lot::MutexGuard<'_, WitnessMarks> {
         self.marks.lock()
     }
 }
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -105,7 +105,7 @@
             }
             Some(answer) => return answer,
             None => {
-                budgets.fleet.members.lock().failed(&owner.name);
+                budgets.fleet.members.lock().record_failure(&owner.name);
             }
         }
     }
@@ -138,7 +138,7 @@
         match budgets.fleet.base.peers.call(&peer.address, timeout, ask).await {
             Some(OwnerAnswer { reply: Reply::StoreAway { .. }, .. }) => {}
             Some(answer) => return answer,
-            None => budgets.fleet.members.lock().failed(&peer.name),
+            None => budgets.fleet.members.lock().record_failure(&peer.name),
         }
     }
     answer
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -24,7 +24,7 @@
     if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_needed {
         return;
     }
-    let peers = budgets.fleet.members.lock().some(usize::MAX, CHOICE);
+    let peers = budgets.fleet.members.lock().sample(usize::MAX, CHOICE);
     let heir = peers.into_iter().find_map(|peer| Some((peer.incarnation?, peer)));
     let Some((incarnation, peer)) = heir else { return };
     let names: Vec<Name> = budgets.holder().accounts().keys().cloned().collect();
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -51,7 +51,7 @@
 
     fn tell_some(self: &Arc<Self>, news: &CrashFacts) {
         let timeout = Duration::from_millis(self.fleet.base.cfg.limits.peer_timeout_ms);
-        let peers = self.fleet.members.lock().some(TOLD_AT_ONCE, rand::random());
+        let peers = self.fleet.members.lock().sample(TOLD_AT_ONCE, rand::random());
         for peer in peers {
             let (crashes, news) = (Arc::clone(self), news.clone());
             tokio::spawn(async move {
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::time::Duration;
 
-use bankcove_core::events::{EventSplitter, Order, Verdict};
+use bankcove_core::events::{EventAction, EventSequence, EventSplitter};
 use bankcove_core::router::Choice;
 use bytes::{Bytes, BytesMut};
 use futures::Stream;
@@ -33,7 +33,7 @@
     open: OpenRequest,
     choice: Choice,
     splitter: EventSplitter,
-    order: Order,
+    order: EventSequence,
     pace: Pace,
 }
 
@@ -56,7 +56,7 @@
     ) -> Self {
         let is_framed = crashes::is_framed(res.headers());
         let body = res.into_body();
-        let order = Order::after(call.incoming.resume_after);
+        let order = EventSequence::after(call.incoming.resume_after);
         let pace = Pace::since(Duration::from_millis(call.age_ms()));
         let splitter = EventSplitter::default();
         Relay { call, charge, body, is_framed, open, choice, splitter, order, pace }
@@ -133,14 +133,14 @@
         let mut out = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
             match self.order.accept(event.id) {
-                Verdict::Deliver => {
+                EventAction::Deliver => {
                     self.charge.event();
                     out.extend_from_slice(&event.raw);
                 }
-                Verdict::Repeat => {}
+                EventAction::Duplicate => {}
                 // What came before the gap is handed on first.
-                Verdict::Gap if out.is_empty() => return Err("an event is missing"),
-                Verdict::Gap => break,
+                EventAction::Gap if out.is_empty() => return Err("an event is missing"),
+                EventAction::Gap => break,
             }
         }
         Ok(out.freeze())
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -14,7 +14,7 @@
 use bankcove_core::Millis;
 use bankcove_core::freshness::answer_time;
 use bankcove_core::members::{FleetSize, Members};
-use bankcove_core::standing::{STALE_VIEW_MS, Standing};
+use bankcove_core::store_read_policy::{STALE_VIEW_MS, StoreReadPolicy};
 
 use parking_lot::Mutex;
 use tokio::sync::Notify;
@@ -97,11 +97,11 @@
     }
 
     /// Where this daemon stands among those that could read the store for its hall.
-    pub fn standing(&self) -> Standing {
+    pub fn store_read_policy(&self) -> StoreReadPolicy {
         let me = self.base.cfg.peer_address();
         let fleet = self.size();
-        Standing {
-            rank: self.members.lock().reader_rank(&self.base.cfg.hall),
+        StoreReadPolicy {
+            rank: self.members.lock().store_reader_rank(&self.base.cfg.hall),
             readers: self.base.cfg.limits.store_readers,
             fleet,
             small_fleet: self.base.cfg.limits.direct_daemons,
@@ -113,20 +113,20 @@
     /// Whether peers tell this daemon of changes in the store, so that it need not
     /// ask itself: others of its hall do, and their word is recent.
     pub fn is_told_by_peers(&self) -> bool {
-        self.told_for().is_some()
+        self.time_until_stale().is_some()
     }
 
     /// How much longer the word of peers is recent enough; none when this daemon asks the store
     /// itself.
-    fn told_for(&self) -> Option<Duration> {
+    fn time_until_stale(&self) -> Option<Duration> {
         let view_age = self.contact.view_age(self.base.clock.now());
-        self.standing().told_for(view_age).map(Duration::from_millis)
+        self.store_read_policy().time_until_stale(view_age).map(Duration::from_millis)
     }
 
     /// Pause before it looks again whether peers still tell this daemon of changes, and no longer
     /// than their word is recent; none when it asks the store itself.
     pub fn told_pause(&self) -> Option<Duration> {
-        self.told_for().map(|left| left.min(TOLD_POLL))
+        self.time_until_stale().map(|left| left.min(TOLD_POLL))
     }
 
     /// Waits for a moment when the store need not be asked: peers tell of it, will do so soon,
@@ -151,7 +151,7 @@
 
     /// Whether this start still waits to be handed by peers what the store would tell.
     pub fn awaits_peers(&self) -> bool {
-        self.base.clock.now() < self.standing().start_patience()
+        self.base.clock.now() < self.store_read_policy().startup_wait()
     }
 
     /// Whether what this daemon knows of the table and the servers is recent enough for those
@@ -172,7 +172,7 @@
     /// Waits, after so many `failures` in a row, until it is time to look whether the store is
     /// back, or peers tell of it.
     pub async fn pause_without_store(&self, failures: u32) {
-        let pause = self.standing().probe_pause(failures, rand::random());
+        let pause = self.store_read_policy().probe_interval(failures, rand::random());
         let until = self.base.clock.now() + pause;
         loop {
             let left = self.base.clock.left(until);
--- a/crates/daemon/src/fleet/health.rs
+++ b/crates/daemon/src/fleet/health.rs
@@ -62,25 +62,25 @@
 
     /// The store told the table in force.
     pub fn table_read(&self, now: Millis) {
-        self.state.lock().view.table_read(now);
+        self.state.lock().view.record_table_read(now);
         self.store_heard(now);
     }
 
     /// The store told the list of servers.
     pub fn servers_read(&self, now: Millis) {
-        self.state.lock().view.servers_read(now);
+        self.state.lock().view.record_servers_read(now);
         self.store_heard(now);
     }
 
     /// The store told the halls that take no new work.
     pub fn halls_read(&self, now: Millis) {
-        self.state.lock().view.halls_read(now);
+        self.state.lock().view.record_halls_read(now);
         self.store_heard(now);
     }
 
     /// This daemon knows all that a peer knew when its view was this old.
     pub fn caught_up(&self, now: Millis, age: Millis) {
-        self.state.lock().view.caught_up(now, age);
+        self.state.lock().view.record_peer_sync(now, age);
     }
 
     /// How old the table and the list of servers may be.
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -228,7 +228,7 @@
 
     /// Who issues permits for the server, in order; none stands for this daemon.
     pub(super) fn issuers(&self, server: &ServerStart) -> Vec<Option<Peer>> {
-        self.fleet.members.lock().owners_listed(server.key(), ISSUERS)
+        self.fleet.members.lock().owners_including_silent(server.key(), ISSUERS)
     }
 
     fn is_silent(&self, peer: &Peer) -> bool {
--- a/crates/daemon/src/hints/spread.rs
+++ b/crates/daemon/src/hints/spread.rs
@@ -64,7 +64,7 @@
 }
 
 fn tell_some(fleet: &Fleet, facts: &[HintFact]) {
-    for peer in fleet.members.lock().some(TOLD_AT_ONCE, rand::random()) {
+    for peer in fleet.members.lock().sample(TOLD_AT_ONCE, rand::random()) {
         let (peers, log, facts) =
             (Arc::clone(&fleet.base.peers), fleet.base.log.clone(), facts.to_vec());
         tokio::spawn(async move {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -12,7 +12,7 @@
 
 use bankcove_core::Millis;
 use bankcove_core::members::{Heartbeat, Peer};
-use bankcove_core::standing::STALE_VIEW_MS;
+use bankcove_core::store_read_policy::STALE_VIEW_MS;
 use tokio::sync::{Notify, Semaphore};
 use tokio_util::sync::CancellationToken;
 
@@ -89,7 +89,7 @@
         // its end, and an adoption, which takes these two the other way round, would wait
         // for this heartbeat as it waits for the adoption.
         let servers_version = self.view.servers.lock().version();
-        let evacuated = self.view.halls.lock().told().clone();
+        let evacuated = self.view.halls.lock().evacuated().clone();
         let first_pace = rand::random_range(0..usize::MAX);
         let paces = self.view.router.lock().paces(PACES_PER_HEARTBEAT, first_pace);
         Heartbeat {
@@ -151,7 +151,7 @@
     hall_sync::heard(&membership.view, &heartbeat.evacuated);
     membership.crashes.heard_digest(&heartbeat.address, heartbeat.crashes_digest);
     membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
-    membership.fleet.members.lock().heard(membership.fleet.base.clock.now(), heartbeat);
+    membership.fleet.members.lock().record_heartbeat(membership.fleet.base.clock.now(), heartbeat);
     membership.view.router.lock().heard_paces(&heartbeat.paces);
 }
 
@@ -227,11 +227,11 @@
     let answer = membership.fleet.base.peers.call(&peer.address, timeout, beat).await;
     if membership.fleet.contact.heartbeat(answer.is_some()) {
         slog::info!(membership.fleet.base.log, "peers regained"; "first" => %peer.name);
-        membership.fleet.members.lock().forgive();
+        membership.fleet.members.lock().clear_failures();
     }
     match answer {
         Some(heartbeat) => answered(membership, &heartbeat, asked_at),
-        None => membership.fleet.members.lock().failed(&peer.name),
+        None => membership.fleet.members.lock().record_failure(&peer.name),
     }
 }
 
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -9,7 +9,7 @@
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
 use bankcove_core::reqlog::{Entry, Outcome};
 use bankcove_core::router::UnreadNews;
-use bankcove_core::server_list::{ListNews, ListVersion};
+use bankcove_core::server_list::{ListUpdate, ListVersion};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 use serde::{Deserialize, Serialize};
 
@@ -106,7 +106,7 @@
     async fn table_above(revision: u64) -> Option<PackedTable>;
     /// What the receiver knows of the list of backend servers beyond this
     /// version, and its own version, when that is above this one.
-    async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListNews)>;
+    async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
     /// The platform's host list as the receiver knows it, unless its hash is
     /// this one.
     async fn hosts_unless(hash: u64) -> Option<HostsTold>;
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -12,7 +12,7 @@
 use bankcove_core::owner::Request;
 use bankcove_core::reqlog::{Entry, Outcome};
 use bankcove_core::router::UnreadNews;
-use bankcove_core::server_list::{ListNews, ListVersion};
+use bankcove_core::server_list::{ListUpdate, ListVersion};
 use bankcove_core::{Incarnation, Name, Tokens};
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -69,9 +69,9 @@
         self,
         _: Context,
         version: ListVersion,
-    ) -> Option<(ListVersion, ListNews)> {
+    ) -> Option<(ListVersion, ListUpdate)> {
         let now = self.daemon.clock.now();
-        self.daemon.view.servers.lock().news_above(now, version)
+        self.daemon.view.servers.lock().update_since(now, version)
     }
 
     async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostsTold> {
--- a/crates/daemon/src/view/hall_sync.rs
+++ b/crates/daemon/src/view/hall_sync.rs
@@ -15,7 +15,7 @@
 pub async fn watch(view: Arc<View>) {
     let mut at = 0;
     loop {
-        let is_known = view.halls.lock().told().at > 0;
+        let is_known = view.halls.lock().evacuated().at > 0;
         match view.fleet.next_turn(is_known).await {
             Turn::Ask => {}
             Turn::Wait => continue,
@@ -69,7 +69,7 @@
 /// No new work goes there from here on, and others hear of it at once.
 fn changed(view: &Arc<View>) {
     routing_table::refresh(view);
-    let told = view.halls.lock().told().clone();
+    let told = view.halls.lock().evacuated().clone();
     let names: Vec<String> = told.halls.iter().map(ToString::to_string).collect();
     slog::info!(view.fleet.base.log, "evacuated halls changed"; "version" => told.at, "halls" => names.join(", "));
     view.fleet.to_tell.notify_one();
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -25,7 +25,7 @@
     let interval = Duration::from_millis(view.fleet.base.cfg.limits.host_list_ms);
     loop {
         read_host_list(&view).await;
-        let is_told = view.fleet.standing().start_patience() > 0;
+        let is_told = view.fleet.store_read_policy().startup_wait() > 0;
         let pause = match (view.hosts.load().is_read(), view.fleet.size()) {
             // Without the list a daemon does not even know how large its fleet is.
             (false, _) => FIRST_LIST_RETRY,
@@ -77,7 +77,7 @@
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
     let is_away = view.fleet.contact.is_store_away(asked_at);
-    let is_told = view.fleet.standing().start_patience() > 0;
+    let is_told = view.fleet.store_read_policy().startup_wait() > 0;
     if (is_known && is_told) || is_away {
         let told = host_list_of_seeds(view).await;
         if told.is_some() || is_away {
@@ -115,7 +115,7 @@
 /// The peers to ask instead.
 pub fn store_readers(view: &View) -> Result<(), Vec<Peer>> {
     let count = view.fleet.base.cfg.limits.store_readers;
-    view.fleet.members.lock().reads_store_for(&view.fleet.base.cfg.hall, count)
+    view.fleet.members.lock().check_store_reader(&view.fleet.base.cfg.hall, count)
 }
 
 /// The host list of the first of these peers that answers; none when it is the
@@ -124,7 +124,7 @@
     for peer in peers {
         match host_list_of(view, &peer.address).await {
             Ok(list) => return list,
-            Err(NoAnswer) => view.fleet.members.lock().failed(&peer.name),
+            Err(NoAnswer) => view.fleet.members.lock().record_failure(&peer.name),
         }
     }
     None
@@ -160,7 +160,7 @@
         .filter(|host| host.role == HostRole::Server && host.state == HostState::Leaving)
         .map(|host| host.name.clone())
         .collect();
-    view.fleet.members.lock().host_list(hosts);
+    view.fleet.members.lock().apply_host_list(hosts);
     view.router.lock().listed_leaving(&leaving);
     view.hosts.store(Arc::new(list));
 }
--- a/crates/daemon/src/view/routing_table.rs
+++ b/crates/daemon/src/view/routing_table.rs
@@ -28,7 +28,7 @@
     put_halls(view, &mut table);
     let halls = view.halls.lock().clone();
     let list = view.servers.lock();
-    for (listed, cold_until) in list.servers_with_cold() {
+    for (listed, cold_until) in list.servers_with_cold_until() {
         let mut row = row_of(listed);
         row.listed.cold_until = cold_until_of(&table, &halls, listed, cold_until);
         table.servers.push(row);
@@ -50,7 +50,7 @@
 
 /// Puts the regions of the settings and the platform's evacuated halls to the rows of halls.
 fn put_halls(view: &View, table: &mut Table) {
-    let evacuated = view.halls.lock().told().halls.clone();
+    let evacuated = view.halls.lock().evacuated().halls.clone();
     let regions = view.fleet.base.cfg.entry.iter().flat_map(|entry| &entry.hall_regions);
     for (hall, region) in regions {
         hall_row(table, hall).region.get_or_insert_with(|| region.clone());
--- a/crates/daemon/src/view/server_sync.rs
+++ b/crates/daemon/src/view/server_sync.rs
@@ -87,7 +87,7 @@
     view.unreadable.tell(&view.fleet.base.log, "servers", &changes.unreadable);
     let mut list = view.servers.lock();
     if is_back {
-        list.platform_returned(now);
+        list.start_lapse_grace(now);
         slog::info!(view.fleet.base.log, "store regained"; "at" => changes.at);
     }
     let changed = list.apply(now, changes) | list.drop_lapsed(now);
@@ -112,7 +112,7 @@
 /// the changes alone have not led to the peer's list.
 pub async fn fetch_from_peer(view: &Arc<View>, address: &str) {
     fetch_news(view, address).await;
-    if view.servers.lock().is_doubtful() {
+    if view.servers.lock().needs_full_list() {
         view.fleet.base.metrics.count("servers.list_doubtful");
         slog::info!(view.fleet.base.log, "servers listed anew: changes led to another list"; "peer" => address);
         fetch_news(view, address).await;
@@ -120,7 +120,7 @@
 }
 
 async fn fetch_news(view: &Arc<View>, address: &str) {
-    let version = view.servers.lock().version_for_news();
+    let version = view.servers.lock().version_for_update();
     let fetch = |client: crate::peer::PeerServiceClient, cx| async move {
         client.servers_above(cx, version).await
     };
@@ -130,7 +130,7 @@
         return;
     };
     let now = view.fleet.base.clock.now();
-    if view.servers.lock().take_news(now, version, news) {
+    if view.servers.lock().apply_update(now, version, news) {
         routing_table::refresh(view);
     }
 }
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -46,8 +46,8 @@
 fn what_was_known_before_a_suspension_is_as_old_as_it() {
     let (host, clock) = host();
     let mut view = Freshness::new(false);
-    view.table_read(clock.now());
-    view.servers_read(clock.now());
+    view.record_table_read(clock.now());
+    view.record_servers_read(clock.now());
     host.run(SECOND);
     host.suspend(8 * SECOND);
     assert_eq!(view.age(clock.now()), Some(9_000));
--- a/crates/daemon/tests/fleet_size.rs
+++ b/crates/daemon/tests/fleet_size.rs
@@ -44,7 +44,7 @@
         crashes_digest: 0,
         hints_digest: 0,
     };
-    daemon.fleet.members.lock().heard(0, &heartbeat);
+    daemon.fleet.members.lock().record_heartbeat(0, &heartbeat);
 }
 
 #[test]
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When a daemon believes that what it knows is current: see freshness_by_word.rs of core.
+//! When a daemon believes that what it knows is current: see freshness_by_gossip.rs of core.
 
 use std::sync::Arc;
 
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -51,7 +51,7 @@
         role: HostRole::Daemon,
         state: HostState::Live,
     };
-    daemon.fleet.members.lock().host_list(&[host]);
+    daemon.fleet.members.lock().apply_host_list(&[host]);
 }
 
 #[tokio::test]
