--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -1,8 +1,8 @@
-//! The platform's list of backend servers, as one daemon knows it.
+//! One daemon's replica of the platform's list of backend servers.
 //!
-//! The list comes as a whole or as changes, from the platform or from a peer.
-//! While the platform is away, entries of servers that live may lapse there:
-//! they are back soon after its return. An entry that is missing right after
+//! Updates are full lists or changes, received from the platform or from a peer.
+//! During an outage of the platform, entries of live servers may expire there and
+//! are registered again soon after its return. An entry that is missing right after
 //! an outage is therefore kept for [`LAPSE_GRACE_MS`].
 
 mod update;
@@ -15,67 +15,67 @@
 
 use crate::{Millis, Name};
 
-/// How long after the platform's return a missing entry is still believed, in
-/// milliseconds: servers that live write their entry anew within two seconds.
+/// Time after the platform's return for which a missing entry is kept, in
+/// milliseconds: live servers rewrite their entry within two seconds.
 pub const LAPSE_GRACE_MS: Millis = 2_000;
 
-/// A server is news when it is cold for so much longer or shorter than was known, in
-/// milliseconds: its word is up to a heartbeat of 1.2 s old when it is read.
-const COLD_NEWS_MS: Millis = 1_500;
+/// Largest difference between the expected and the reported end of a server's cold start that
+/// is not a change, in milliseconds: a report is up to one heartbeat of 1.2 s old when it is read.
+const COLD_TOLERANCE_MS: Millis = 1_500;
 
 /// One backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedServer {
-    /// The server's name; another start may have the same one.
+    /// The server's name; a later start of the server may have the same one.
     pub name: Name,
-    /// When this start began, in milliseconds since 1970; 0 where nobody tells.
+    /// Time of this start, in milliseconds since 1970; 0 if unknown.
     #[serde(default)]
     pub started_ms: Millis,
     /// The service that it belongs to.
     pub service: Name,
     /// Its address, IP number and port.
     pub address: String,
-    /// The hall that it stands in.
+    /// The hall that it is located in.
     pub hall: Name,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether it is leaving.
     pub draining: bool,
-    /// How much longer it was cold when it said so, in milliseconds.
+    /// Remaining time of its cold start when the entry was written, in milliseconds.
     #[serde(default)]
     pub cold_for_ms: Millis,
 }
 
-/// What the platform says of its list.
+/// An update of the list from the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ServerChanges {
     /// Version of the list after these changes.
     pub at: u64,
-    /// Whether `put` is the whole list, so that what is not in it is gone.
+    /// Whether `put` is the full list, so that entries missing from it are removed.
     pub whole: bool,
-    /// Entries that are new or have changed.
+    /// New and changed entries.
     pub put: Vec<ListedServer>,
-    /// Entries that were removed.
+    /// Removed entries.
     pub gone: Vec<RemovedServer>,
-    /// Entries that can't be read: they name no server to use.
+    /// Entries that can't be parsed; their servers are not used.
     pub unreadable: Vec<Unreadable>,
 }
 
-/// An entry that was removed.
+/// A removed entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemovedServer {
     /// The server.
     pub name: Name,
-    /// The start of it that the entry told of, as [`ListedServer::started_ms`].
+    /// The start that the entry described, as [`ListedServer::started_ms`].
     pub started_ms: Millis,
 }
 
-/// An entry that can't be read.
+/// An entry that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Unreadable {
-    /// The entry's name, if that can be read.
+    /// The entry's name, if it can be parsed.
     pub name: Option<Name>,
-    /// What is wrong, with the path of the field.
+    /// The error, with the path of the field.
     pub problem: String,
 }
 
@@ -84,47 +84,48 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct ListVersion {
-    /// The platform's version of which the list has all changes; 0 before the
+    /// The platform's version up to which the list has all changes; 0 before the
     /// first list.
     pub at: u64,
-    /// Entries that lapsed since, each known to be gone only when its grace was
-    /// over, at the same version of the platform.
+    /// Number of entries dropped since then because their grace period ended without a new
+    /// version of the platform.
     pub drops: u32,
 }
 
 impl ListVersion {
-    /// Whether there is a list at all.
+    /// Whether a list was received.
     pub fn is_some(self) -> bool {
         self.at > 0
     }
 }
 
-/// An entry as daemons tell each other.
+/// An entry as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedServer {
     /// The server.
     pub server: ListedServer,
-    /// Time until it is dropped, for one whose entry is missing after an outage.
-    /// It is there for those who still have it; to others it is gone.
+    /// Time until it is dropped, in milliseconds, if it is missing after an outage. Receivers
+    /// that have the entry keep it until then; others treat it as removed.
     pub dropped_in: Option<Millis>,
-    /// How much longer it is cold.
+    /// Remaining time of its cold start, in milliseconds.
     pub cold_in: Millis,
 }
 
 #[derive(Debug, Clone, Serialize)]
 struct Entry {
     server: ListedServer,
-    /// Until when it is cold, by this daemon's clock.
+    /// End of its cold start, by this daemon's clock.
     cold_until: Millis,
-    /// When it is dropped, if it does not come back before.
+    /// Time at which it is dropped unless it is registered again before.
     dropped_at: Option<Millis>,
-    /// Version of the platform's list at which it changed last here.
+    /// Version of the platform's list at which it last changed in this replica.
     changed_at: u64,
 }
 
 impl Entry {
-    /// This entry of a peer, or what this daemon knows already: of a later start, or of what it
-    /// has read since. A later start of which the peer has not heard lapses with the earlier one.
+    /// Merges this entry, received from a peer, with the local one. The local entry wins if it
+    /// describes a later start, or the same start at a later version. A later start that is
+    /// unknown to the peer inherits the drop time of the earlier one.
     fn merged_with(self, known: Option<&Entry>) -> Entry {
         let Some(known) = known else { return self };
         let is_read_since = known.changed_at > self.changed_at;
@@ -136,62 +137,67 @@
         if is_same_start && is_read_since { known.clone() } else { self }
     }
 
-    /// Whether what the platform tells of the server now is what is known already: an entry
-    /// that counts down how long its server is cold, or says that it is warm when that was
-    /// expected, is no news: each version of the list goes to every daemon.
-    fn says_the_same(&self, now: Millis, told: &ListedServer) -> bool {
-        if self.server == *told {
+    /// Whether the platform's entry `update` is no change to this one. An entry that only counts
+    /// down the cold start, or ends it at the expected time, is no change: each version of the
+    /// list is sent to every daemon.
+    fn is_unchanged_by(&self, now: Millis, update: &ListedServer) -> bool {
+        if self.server == *update {
             return true;
         }
-        let but_for_cold = ListedServer { cold_for_ms: self.server.cold_for_ms, ..told.clone() };
+        let with_known_cold =
+            ListedServer { cold_for_ms: self.server.cold_for_ms, ..update.clone() };
         let known = self.cold_until.max(now);
-        self.server == but_for_cold && known.abs_diff(now + told.cold_for_ms) <= COLD_NEWS_MS
+        self.server == with_known_cold
+            && known.abs_diff(now + update.cold_for_ms) <= COLD_TOLERANCE_MS
     }
 }
 
-/// The list.
+/// One daemon's replica of the server list.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ServerList {
     version: ListVersion,
     entries: BTreeMap<Name, Entry>,
     grace_until: Millis,
-    /// Entries that were removed, and at which version of the platform's list.
+    /// Removed entries, with the version of the platform's list at which each was removed.
     removed: VecDeque<(u64, RemovedServer)>,
-    /// The version of the platform's list from which on all changes are known.
+    /// First version of the platform's list from which on all changes are known.
     changes_from: u64,
-    /// The version up to which this daemon has read the platform's list itself.
+    /// Version up to which this daemon has read the list from the platform itself.
     read_to: u64,
     /// See [`ServerList::needs_full_list`].
-    is_doubtful: bool,
+    #[serde(rename = "is_doubtful")]
+    needs_full_list: bool,
 }
 
 impl ServerList {
-    /// Version of the last change.
+    /// Returns the version of the last change.
     pub fn version(&self) -> ListVersion {
         self.version
     }
 
-    /// Every server that may still be there.
+    /// Iterates over all servers, including those in their grace period.
     pub fn servers(&self) -> impl Iterator<Item = &ListedServer> {
         self.entries.values().map(|entry| &entry.server)
     }
 
-    /// Every server that may still be there, and until when it is cold.
+    /// Iterates over all servers, including those in their grace period, each with the end of
+    /// its cold start.
     pub fn servers_with_cold_until(&self) -> impl Iterator<Item = (&ListedServer, Millis)> {
         self.entries.values().map(|entry| (&entry.server, entry.cold_until))
     }
 
-    /// Takes in that the platform answers again after it was away.
+    /// Starts the grace period for missing entries when the platform answers again after an
+    /// outage.
     pub fn start_lapse_grace(&mut self, now: Millis) {
         self.grace_until = now + LAPSE_GRACE_MS;
     }
 
-    /// Takes in changes that the platform told; returns whether any server
-    /// has changed for a request's choice.
+    /// Applies an update from the platform; returns whether any server has changed in a way that
+    /// matters to routing.
     pub fn apply(&mut self, now: Millis, changes: ServerChanges) -> bool {
         let mut changed = false;
         self.read_to = self.read_to.max(changes.at);
-        // Whoever has an older version than this one has not seen them.
+        // Peers with an older version than this have not seen these changes.
         let at = changes.at.max(self.version.at);
         if changes.whole {
             let missing: Vec<Name> = self.missing_from(&changes);
@@ -201,20 +207,22 @@
         }
         for gone in &changes.gone {
             match self.started_ms(&gone.name) {
-                // It came and went between two reads; peers may have seen it.
+                // It was added and removed between two reads; peers may have seen it.
                 None => self.remember_removed(at, gone.clone()),
                 Some(known) if known == gone.started_ms => {
                     changed |= self.remove(now, at, gone.clone());
                 }
-                // No grace: the start that is known was over before.
-                Some(known) if known < gone.started_ms => changed |= self.erase(at, gone.clone()),
+                // No grace period: the known start ended before the removed one.
+                Some(known) if known < gone.started_ms => {
+                    changed |= self.remove_now(at, gone.clone());
+                }
                 Some(_) => {}
             }
         }
         for name in changes.unreadable.iter().filter_map(|entry| entry.name.as_ref()) {
-            // No grace: the platform has an entry, and it names no server.
+            // No grace period: the platform has the entry, but it describes no usable server.
             changed |=
-                self.erase(at, RemovedServer { name: name.clone(), started_ms: Millis::MAX });
+                self.remove_now(at, RemovedServer { name: name.clone(), started_ms: Millis::MAX });
         }
         for server in changes.put {
             changed |= self.put(now, at, server);
@@ -223,27 +231,27 @@
             self.version = self.version.max(ListVersion { at: changes.at, drops: 0 });
         }
         if changes.whole {
-            // What came and went before is not known.
+            // Entries that were added and removed before are unknown.
             self.forget_changes(at);
         }
         changed
     }
 
-    /// The list for a peer.
+    /// Returns the full list for a peer.
     pub fn shared(&self, now: Millis) -> Vec<SharedServer> {
         self.entries.values().map(|entry| entry.shared(now)).collect()
     }
 
-    /// Takes the whole list of a peer, if it is newer; returns whether it was.
+    /// Adopts the full list of a peer if it is newer; returns whether it was.
     ///
-    /// Entries that lapse at the peer are kept only where they are known: this
-    /// daemon may have heard before that they are gone for good.
+    /// Entries in their grace period at the peer are adopted only if they are known here:
+    /// otherwise this daemon may already have learned of their removal.
     pub fn adopt(&mut self, now: Millis, version: ListVersion, servers: Vec<SharedServer>) -> bool {
-        let replaces = self.is_doubtful && version == self.version;
+        let replaces = self.needs_full_list && version == self.version;
         if !replaces && (version <= self.version || self.has_read(version)) {
             return false;
         }
-        self.is_doubtful = false;
+        self.needs_full_list = false;
         self.version = version;
         self.forget_changes(version.at + u64::from(version.drops > 0));
         let old = std::mem::take(&mut self.entries);
@@ -252,22 +260,23 @@
         };
         let entry = |shared: SharedServer| {
             let dropped_at = shared.dropped_in.map(|left| now + left);
-            let told = Entry {
+            let received = Entry {
                 cold_until: now + shared.cold_in,
                 dropped_at,
                 server: shared.server,
                 changed_at: version.at,
             };
-            let known = old.get(&told.server.name);
-            let entry = if replaces { told } else { told.merged_with(known) };
+            let known = old.get(&received.server.name);
+            let entry = if replaces { received } else { received.merged_with(known) };
             (entry.server.name.clone(), entry)
         };
         self.entries = servers.into_iter().filter(is_known).map(entry).collect();
         true
     }
 
-    /// Whether this daemon has read all of a peer's version from the platform itself, with
-    /// changes that came and went since: the peer's list would bring them back.
+    /// Whether this daemon has itself read the platform's list up to a peer's version; if so, the
+    /// version is raised to the peer's. The peer's list could restore entries that were added
+    /// and removed since.
     fn has_read(&mut self, version: ListVersion) -> bool {
         let has_read = version.at <= self.read_to;
         if has_read {
@@ -276,21 +285,21 @@
         has_read
     }
 
-    /// Drops entries whose grace is over; returns whether there were any.
+    /// Drops entries whose grace period has ended; returns whether there were any.
     pub fn drop_lapsed(&mut self, now: Millis) -> bool {
         let before = self.entries.len();
         self.entries.retain(|_, entry| entry.dropped_at.is_none_or(|at| now < at));
         let dropped = before - self.entries.len();
-        // Peers that have the list from this daemon have to hear of it.
+        // Peers that have the list from this daemon need to receive the drops.
         self.version.drops += dropped as u32;
         if dropped > 0 {
-            // A drop has no version of the platform.
+            // Drops have no version of the platform.
             self.forget_changes(self.version.at.max(self.read_to) + 1);
         }
         dropped > 0
     }
 
-    /// Time until the grace of the first missing entry is over.
+    /// Returns the time until the first drop, in milliseconds; none if no entry is to be dropped.
     pub fn next_drop(&self, now: Millis) -> Option<Millis> {
         let drops = self.entries.values().filter_map(|entry| entry.dropped_at);
         drops.min().map(|at| at.saturating_sub(now))
@@ -312,12 +321,12 @@
             return false;
         }
         if let Some(known) = self.entries.get_mut(&server.name)
-            && known.says_the_same(now, &server)
+            && known.is_unchanged_by(now, &server)
         {
             known.server = server;
-            // It may have said something else between two reads, and peers have heard that.
+            // Peers may have received a different entry that was written between two reads.
             known.changed_at = at;
-            // Peers that were told that it lapses have to hear that it is back.
+            // Peers that received its drop time need to learn that it is registered again.
             return known.dropped_at.take().is_some();
         }
         let cold_until = now + server.cold_for_ms;
@@ -326,9 +335,11 @@
         true
     }
 
+    /// Removes an entry, after the grace period if one is running; returns whether it was
+    /// removed now.
     fn remove(&mut self, now: Millis, at: u64, gone: RemovedServer) -> bool {
         if now >= self.grace_until {
-            return self.erase(at, gone);
+            return self.remove_now(at, gone);
         }
         let grace_until = self.grace_until;
         if let Some(entry) = self.entries.get_mut(&gone.name) {
@@ -338,8 +349,9 @@
         false
     }
 
-    /// Removes an entry; peers may know a later start of it than this daemon, up to that of `gone`.
-    fn erase(&mut self, at: u64, gone: RemovedServer) -> bool {
+    /// Removes an entry at once; returns whether it was known. The removal is recorded with the
+    /// start in `gone`, since peers may know a later start than this daemon.
+    fn remove_now(&mut self, at: u64, gone: RemovedServer) -> bool {
         let is_known = self.entries.remove(&gone.name).is_some();
         if is_known {
             self.remember_removed(at, gone);
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -1,5 +1,5 @@
-//! What one daemon tells another of the list: what changed since the other's version, and the
-//! whole list only where that is not known.
+//! Incremental replication of the server list between daemons: the changes since the receiver's
+//! version, or the full list where these are unknown.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,31 +8,31 @@
 use super::{Entry, ListVersion, ListedServer, RemovedServer, ServerList, SharedServer};
 use crate::Millis;
 
-/// Removals that are remembered at most: some 60 bytes each, and more than half of 10,000
+/// Maximum number of remembered removals: some 60 bytes each, and more than half of 10,000
 /// servers are replaced in a release.
-const MOST_REMOVED: usize = 8_192;
+const MAX_REMEMBERED_REMOVALS: usize = 8_192;
 
-/// What a daemon tells of its list.
+/// An update of the list from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListUpdate {
-    /// All of it.
+    /// The full list.
     Whole(Vec<SharedServer>),
-    /// What changed.
+    /// Changes to a known version.
     Changes {
-        /// The version from which on.
+        /// The version that the changes apply to.
         since: ListVersion,
-        /// Entries that are new or have changed.
+        /// New and changed entries.
         put: Vec<SharedServer>,
-        /// Entries that were removed.
+        /// Removed entries.
         gone: Vec<RemovedServer>,
-        /// [`ServerList::digest`] of the list after them.
+        /// [`ServerList::digest`] of the list after the changes.
         digest: u64,
     },
 }
 
 impl ServerList {
-    /// What a peer with this version has not seen, and this list's version; none when there is
-    /// nothing.
+    /// Returns this list's version and the update for a peer at version `known`; none if the
+    /// peer is up to date.
     pub fn update_since(
         &self,
         now: Millis,
@@ -41,77 +41,77 @@
         if self.version <= known {
             return None;
         }
-        // Entries that lapsed are dropped at no version of the platform: lists with the same
-        // number of them may differ.
+        // Drops have no version of the platform: lists with the same number of drops may differ.
         let has_drops = known.drops > 0 || self.version.drops > 0;
         if !known.is_some() || has_drops || known.at < self.changes_from {
             return Some((self.version, ListUpdate::Whole(self.shared(now))));
         }
-        // That an entry lapses has no version of the platform either.
-        let is_news = |entry: &&Entry| entry.changed_at > known.at || entry.dropped_at.is_some();
-        let changed = self.entries.values().filter(is_news);
+        // The start of a grace period has no version of the platform either.
+        let is_changed = |entry: &&Entry| entry.changed_at > known.at || entry.dropped_at.is_some();
+        let changed = self.entries.values().filter(is_changed);
         let removed = self.removed.iter().filter(|(at, _)| *at > known.at);
-        let news = ListUpdate::Changes {
+        let update = ListUpdate::Changes {
             since: known,
             put: changed.map(|entry| entry.shared(now)).collect(),
             gone: removed.map(|(_, gone)| gone.clone()).collect(),
             digest: self.digest(),
         };
-        Some((self.version, news))
+        Some((self.version, update))
     }
 
-    /// Hash of all entries that don't lapse, whatever their order.
+    /// Returns the order-independent hash of all entries that are not in their grace period.
     pub fn digest(&self) -> u64 {
-        let staying = self.entries.values().filter(|entry| entry.dropped_at.is_none());
-        staying.fold(0, |sum, entry| sum ^ hash(&entry.server))
+        let registered = self.entries.values().filter(|entry| entry.dropped_at.is_none());
+        registered.fold(0, |sum, entry| sum ^ hash(&entry.server))
     }
 
-    /// Whether changes that a peer told have not led to the peer's list: outages and lapses may
-    /// hide some. The whole list is to be asked for.
+    /// Whether this list differs from a peer's after the peer's changes were applied: outages and
+    /// expired entries may hide changes. The full list must then be requested.
     pub fn needs_full_list(&self) -> bool {
-        self.is_doubtful
+        self.needs_full_list
     }
 
-    /// The version from which on this list is to be told news.
+    /// Returns the version to request an update for; the default version requests the full list.
     pub fn version_for_update(&self) -> ListVersion {
-        if self.is_doubtful { ListVersion::default() } else { self.version }
+        if self.needs_full_list { ListVersion::default() } else { self.version }
     }
 
-    /// Takes what a peer has told, if that is newer and follows on what is known; returns
-    /// whether it was.
-    pub fn apply_update(&mut self, now: Millis, version: ListVersion, news: ListUpdate) -> bool {
-        match news {
+    /// Applies an update from a peer if it is newer and is a full list or starts at this list's
+    /// version; returns whether it was applied.
+    pub fn apply_update(&mut self, now: Millis, version: ListVersion, update: ListUpdate) -> bool {
+        match update {
             ListUpdate::Whole(servers) => self.adopt(now, version, servers),
             ListUpdate::Changes { since, .. } if since != self.version || version <= since => false,
             ListUpdate::Changes { .. } if self.has_read(version) => false,
             ListUpdate::Changes { put, gone, digest, .. } => {
                 for gone in gone {
                     match self.started_ms(&gone.name) {
-                        // Others may have seen it.
+                        // Other peers may have seen it.
                         None => self.remember_removed(version.at, gone),
                         Some(known) if known <= gone.started_ms => {
-                            self.erase(version.at, gone);
+                            self.remove_now(version.at, gone);
                         }
                         Some(_) => {}
                     }
                 }
                 for shared in put {
-                    self.put_told(now, version.at, shared);
+                    self.put_shared(now, version.at, shared);
                 }
                 self.version = version;
-                self.is_doubtful = self.digest() != digest;
+                self.needs_full_list = self.digest() != digest;
                 true
             }
         }
     }
 
-    fn put_told(&mut self, now: Millis, at: u64, shared: SharedServer) {
+    /// Adds or merges one entry received from a peer.
+    fn put_shared(&mut self, now: Millis, at: u64, shared: SharedServer) {
         let SharedServer { server, dropped_in, cold_in } = shared;
         let (cold_until, dropped_at) = (now + cold_in, dropped_in.map(|left| now + left));
         let entry = Entry { cold_until, dropped_at, changed_at: at, server };
         let known = self.entries.get(&entry.server.name);
         if dropped_at.is_some() && known.is_none() {
-            // It is gone for good here.
+            // This daemon has already removed it.
             return;
         }
         let entry = entry.merged_with(known);
@@ -120,14 +120,14 @@
 
     pub(super) fn remember_removed(&mut self, at: u64, gone: RemovedServer) {
         self.removed.push_back((at, gone));
-        while self.removed.len() > MOST_REMOVED
+        while self.removed.len() > MAX_REMEMBERED_REMOVALS
             && let Some((at, _)) = self.removed.pop_front()
         {
             self.changes_from = self.changes_from.max(at);
         }
     }
 
-    /// Peers with a version below `from` are told the whole list from here on.
+    /// Forgets removals, so that peers with a version below `from` receive the full list.
     pub(super) fn forget_changes(&mut self, from: u64) {
         self.removed.clear();
         self.changes_from = from;
