--- a/crates/core/src/hints.rs
+++ b/crates/core/src/hints.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves in the heads of their answers.
+//! Signals that backend servers send in their response headers: limits, leaving, rest periods.
 
 mod leaving;
 mod rest_periods;
@@ -13,44 +13,44 @@
 use crate::Millis;
 use crate::limits::{LimitFact, LimitWord};
 
-/// How long what a start of a server has said is remembered after it, in milliseconds, when
-/// nobody lists that start: longer than lists of hosts that were cut off lag behind.
-const HOLD_MS: Millis = 600_000;
+/// Time for which a signal of an unlisted start of a server is kept, in milliseconds: longer
+/// than the lists of hosts that were cut off lag behind.
+const UNLISTED_RETENTION_MS: Millis = 600_000;
 
-/// One thing that a head may say.
+/// Value of one signal in a response header.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Hint<T> {
-    /// It doesn't say it.
+    /// The header is missing or has no effect.
     #[default]
     Absent,
-    /// It says this.
+    /// The header has this value.
     Given(T),
-    /// It says what can't be read, which changes nothing.
+    /// The header can't be parsed and is ignored.
     Unreadable(String),
 }
 
-/// All that one head says.
+/// All signals of one response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServerHints {
-    /// How many requests a second the server takes from all daemons together.
+    /// Requests per second that the server accepts from all daemons together.
     pub limit: LimitWord,
-    /// The server takes no new requests, and ends.
+    /// The server accepts no new requests and is shutting down.
     pub leaving: Hint<()>,
-    /// The server wants nothing from this daemon for so many milliseconds.
+    /// Time for which this daemon must send nothing to the server, in milliseconds.
     pub rest: Hint<Millis>,
 }
 
-/// One thing that a server has said, for a peer.
+/// A signal of a server, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HintFact {
-    /// Its limit.
+    /// The server's limit.
     Limit(LimitFact),
-    /// That it leaves.
+    /// The server is leaving.
     Leaving(LeavingFact),
 }
 
 impl HintFact {
-    /// The same fact, told so much later.
+    /// Returns the fact with its ages increased by `by_ms`.
     #[must_use]
     pub fn aged(mut self, by_ms: Millis) -> Self {
         match &mut self {
@@ -64,22 +64,22 @@
     }
 }
 
-/// Why a server must not be sent to.
+/// Reason not to send requests to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Closed {
-    /// It has said that it leaves.
+    /// It has announced that it is leaving.
     #[error("the server leaves")]
     Leaving,
-    /// It has asked this daemon for rest.
+    /// It has requested a rest period from this daemon.
     #[error("the server rests for {left_ms} ms")]
     Resting {
-        /// How much longer, in milliseconds.
+        /// Remaining time, in milliseconds.
         left_ms: Millis,
     },
 }
 
-/// Reads a header that marks a server as leaving: `1`. `0` says nothing; of several, one mark
-/// is enough.
+/// Parses the header values that mark a server as leaving: `1` is a mark, `0` is none; one mark
+/// among several values is enough.
 pub fn read_leaving<'a>(values: impl IntoIterator<Item = &'a str>) -> Hint<()> {
     let mut hint = Hint::Absent;
     for text in values.into_iter().flat_map(|value| value.split(',')).map(str::trim) {
@@ -92,9 +92,9 @@
     hint
 }
 
-/// Reads `Retry-After` of a 503: seconds, also fractions, or an HTTP date, which counts from
-/// the answer's own `Date`, since no two hosts have the same clock. Of several the longest
-/// counts; one that is over already says nothing.
+/// Parses the `Retry-After` values of a 503 response into a rest period in milliseconds: seconds,
+/// also fractions, or an HTTP date, which is relative to the response's own `Date`, since host
+/// clocks differ. The longest of several values counts; one in the past counts as absent.
 pub fn read_retry_after<'a>(
     values: impl IntoIterator<Item = &'a str>,
     date: Option<&str>,
--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -1,6 +1,6 @@
-//! Starts of servers that have said that they leave.
+//! Server starts that have announced that they are leaving.
 //!
-//! The set only grows while a start lives: nothing but another start of the server ends it.
+//! The announcement is final: only a later start of the server accepts requests again.
 
 use std::collections::HashMap;
 
@@ -9,32 +9,32 @@
 
 use crate::Millis;
 use crate::crashes::ServerStart;
-use crate::hints::HOLD_MS;
+use crate::hints::UNLISTED_RETENTION_MS;
 
-/// A start of a server that has said that it leaves.
+/// A server start that has announced that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingFact {
     /// The server.
     pub server: ServerStart,
-    /// How long ago it said so first, in milliseconds.
+    /// Time since its first announcement, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// The starts that one daemon knows to be leaving.
+/// The leaving server starts that one daemon knows.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingServers {
-    /// When each said so first.
+    /// Time of the first announcement of each start.
     known: HashMap<ServerStart, Millis>,
     digest: u64,
 }
 
 impl LeavingServers {
-    /// Whether this start leaves.
+    /// Whether this start is leaving.
     pub fn contains(&self, server: &ServerStart) -> bool {
         self.known.contains_key(server)
     }
 
-    /// Adds a start that said `age_ms` ago that it leaves; returns whether that is new.
+    /// Adds a start that announced `age_ms` ago that it is leaving; returns whether it is new.
     pub fn add(&mut self, now: Millis, server: &ServerStart, age_ms: Millis) -> bool {
         if self.contains(server) {
             return false;
@@ -44,45 +44,46 @@
         true
     }
 
-    /// Adds what a peer has told; returns what is new. A start that nobody lists here is not
-    /// added again once it would be forgotten.
+    /// Merges facts from a peer; returns the new ones. An unlisted start that is old enough to
+    /// be removed by [`LeavingServers::forget_old`] is not added again.
     pub fn merge(
         &mut self,
         now: Millis,
         facts: &[LeavingFact],
         is_listed: impl Fn(&ServerStart) -> bool,
     ) -> Vec<LeavingFact> {
-        let is_kept = |fact: &&LeavingFact| fact.age_ms < HOLD_MS || is_listed(&fact.server);
+        let is_kept =
+            |fact: &&LeavingFact| fact.age_ms < UNLISTED_RETENTION_MS || is_listed(&fact.server);
         let kept = facts.iter().filter(is_kept);
         kept.filter(|fact| self.add(now, &fact.server, fact.age_ms)).cloned().collect()
     }
 
-    /// Up to `most` starts, from place `turn` on.
-    pub fn facts(&self, now: Millis, most: usize, turn: usize) -> Vec<LeavingFact> {
-        let first = turn % self.known.len().max(1);
-        let around = self.known.iter().skip(first).chain(self.known.iter().take(first));
+    /// Returns up to `max_count` starts, beginning at position `offset` and wrapping around.
+    pub fn facts(&self, now: Millis, max_count: usize, offset: usize) -> Vec<LeavingFact> {
+        let first = offset % self.known.len().max(1);
+        let rotated = self.known.iter().skip(first).chain(self.known.iter().take(first));
         let fact = |(server, at): (&ServerStart, &Millis)| LeavingFact {
             server: server.clone(),
             age_ms: now.saturating_sub(*at),
         };
-        around.take(most).map(fact).collect()
+        rotated.take(max_count).map(fact).collect()
     }
 
-    /// Whether no server is known to leave.
+    /// Whether no leaving server is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Hash of all of them, whatever their order; 0 when there are none.
+    /// Returns the order-independent hash of all starts; 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Forgets starts that nobody lists any more.
+    /// Removes unlisted starts after [`UNLISTED_RETENTION_MS`].
     pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, at| {
-            let is_kept = now.saturating_sub(*at) < HOLD_MS || is_listed(server);
+            let is_kept = now.saturating_sub(*at) < UNLISTED_RETENTION_MS || is_listed(server);
             *digest ^= if is_kept { 0 } else { hash(server) };
             is_kept
         });
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -1,26 +1,26 @@
-//! Servers that have asked this daemon for rest.
+//! Rest periods: times for which a server has asked this daemon, by `Retry-After`, to send nothing.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 use crate::crashes::ServerStart;
-use crate::hints::HOLD_MS;
+use crate::hints::UNLISTED_RETENTION_MS;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Rest {
+struct RestPeriod {
     asked_at: Millis,
     until: Millis,
 }
 
-/// Until when each server wants nothing, by this daemon's clock.
+/// The rest period of each server, by this daemon's clock.
 #[derive(Debug, Clone, Default)]
 pub struct RestPeriods {
-    known: HashMap<ServerStart, Rest>,
+    known: HashMap<ServerStart, RestPeriod>,
 }
 
 impl RestPeriods {
-    /// A server asks now for a rest of `rest_ms`. Returns its end when that is later than what
-    /// was known: a shorter rest does not end a longer one.
+    /// Records that a server requests a rest of `rest_ms` from now. Returns the new end if it is
+    /// later than the known one: a shorter rest does not end a longer one.
     pub fn observe(
         &mut self,
         now: Millis,
@@ -37,20 +37,22 @@
         Some(until)
     }
 
-    /// When the last rest of this start of a server ends, or has ended; 0 without one.
+    /// Returns the end of this start's last rest period, which may be in the past; 0 if it has
+    /// none.
     pub fn end(&self, server: &ServerStart) -> Millis {
         self.known.get(server).map_or(0, |rest| rest.until)
     }
 
-    /// Whether no server rests.
+    /// Whether no rest period is stored.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets rests that are over, and those of servers that nobody has listed for long.
+    /// Removes rest periods that have ended, and those of unlisted servers that were requested
+    /// at least [`UNLISTED_RETENTION_MS`] ago.
     pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         self.known.retain(|server, rest| {
-            let is_recent = now.saturating_sub(rest.asked_at) < HOLD_MS;
+            let is_recent = now.saturating_sub(rest.asked_at) < UNLISTED_RETENTION_MS;
             now < rest.until && (is_recent || is_listed(server))
         });
     }
