--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,7 +1,7 @@
-//! Who the other daemons are: the platform's list corrected by heartbeats.
+//! Membership view of the fleet: the platform's host list, corrected by heartbeats.
 //!
-//! The list lags and may be wrong. Nothing that must always hold depends on
-//! this view: it only says whom to ask first.
+//! The list lags and may be wrong. No invariant depends on this view: it only
+//! determines which peers are asked first.
 
 use std::collections::BTreeMap;
 
@@ -14,20 +14,20 @@
 use crate::server_list::{ListVersion, Unreadable};
 use crate::{Incarnation, Millis, Name};
 
-/// A peer that was silent to this many heartbeats in a row is suspected.
+/// Number of consecutive unanswered heartbeats after which a peer is suspected.
 pub const SUSPECT_AFTER_FAILURES: u32 = 2;
 
-/// Up to this many rounds of heartbeats, each peer in turn is asked; beyond that
-/// a daemon keeps to its neighbours.
+/// Largest number of heartbeat rounds needed to reach every peer for which targets are drawn
+/// from all peers; in larger fleets each daemon has fixed neighbours.
 const SMALL_FLEET_ROUNDS: usize = 4;
 
 /// State of a host in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It is live.
+    /// The host is in service.
     Live,
-    /// It is leaving.
+    /// The host is leaving.
     Leaving,
 }
 
@@ -35,21 +35,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
-    /// A daemon of bankcove.
+    /// A bankcove daemon.
     #[default]
     Daemon,
     /// A backend server.
     Server,
 }
 
-/// One line of the platform's host list.
+/// One row of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// The host's name; for backend servers the name of their row.
     pub name: Name,
-    /// The hall that it stands in.
+    /// The hall that it is located in.
     pub hall: Name,
-    /// For daemons the peer port, for backend servers their address.
+    /// Address of the peer port for daemons, of the server itself for backend servers.
     pub address: String,
     /// What runs there.
     #[serde(default)]
@@ -61,13 +61,13 @@
 /// The platform's host list as it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Hosts {
-    /// The lines.
+    /// The rows.
     pub hosts: Vec<Host>,
-    /// Lines that can't be read: they name no host.
+    /// Rows that can't be parsed; their hosts are ignored.
     pub unreadable: Vec<Unreadable>,
 }
 
-/// What a daemon says of itself in a heartbeat.
+/// Message by which a daemon announces its state to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's name.
@@ -76,63 +76,65 @@
     pub hall: Name,
     /// The sender's start.
     pub incarnation: Incarnation,
-    /// Where the sender's peer port listens.
+    /// Address of the sender's peer port.
     pub address: String,
     /// Revision of the table in force at the sender.
     pub revision: u64,
     /// Version of the sender's list of backend servers.
     pub servers_version: ListVersion,
-    /// Halls that take no new work, as the sender knows them.
+    /// Halls that take no new work, as known to the sender.
     pub evacuated: EvacuatedHalls,
     /// Whether the sender is stopping.
     pub stopping: bool,
-    /// How long ago the store answered the sender or a peer in its contact.
+    /// Time since the store last answered the sender or a peer that it is in contact with, in
+    /// milliseconds.
     pub store_heard_ms: Option<Millis>,
-    /// How old the sender's table and list of servers may be, at most.
+    /// Greatest possible age of the sender's table and server list, in milliseconds.
     pub view_age_ms: Option<Millis>,
-    /// How fast some of the backend servers are, others in each heartbeat.
+    /// Measured speed of some backend servers, of different ones in each heartbeat.
     pub paces: Vec<ServerPace>,
-    /// Hash of what the sender knows of crashes, as [`crate::crashes::CrashBook::digest`].
+    /// Hash of the sender's crash records, as [`crate::crashes::CrashBook::digest`].
     pub crashes_digest: u64,
-    /// Hash of what servers have said as far as the sender knows: of
+    /// Hash of the server signals known to the sender, from
     /// [`crate::limits::LimitBook::digest`] and [`crate::hints::LeavingServers::digest`].
     pub hints_digest: u64,
 }
 
-/// A peer as this daemon sees it.
+/// This daemon's view of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Peer {
     /// The peer's name.
     pub name: Name,
-    /// Hash of its name, by which it is chosen as an owner, reader or neighbour.
+    /// Hash of its name, for rendezvous hashing of owners, store readers and neighbours.
     key: u64,
     /// The peer's hall.
     pub hall: Name,
-    /// Its peer port.
+    /// Address of its peer port.
     pub address: String,
-    /// Its start, once it was heard.
+    /// Its start; none before its first message.
     pub incarnation: Option<Incarnation>,
-    /// Revision of the table that it last told.
+    /// Latest revision of the table that it has reported.
     pub revision: u64,
-    /// Whether it is there, by the platform's list or by its own word.
+    /// Whether it is a member, by the platform's list or by its own heartbeats.
     pub listed: bool,
-    /// Whether the platform's list has had it since this start of it.
+    /// Whether the platform's list has contained it since its current start.
     pub was_on_list: bool,
-    /// Whether it is stopping, by the list or by its own word.
+    /// Whether it is stopping, by the list or by its own heartbeats.
     pub stopping: bool,
-    /// Heartbeats in a row that it did not answer.
+    /// Number of consecutive calls that it did not answer.
     pub failures: u32,
-    /// When it was heard last.
+    /// Time of its last heartbeat.
     pub heard_at: Option<Millis>,
 }
 
 impl Peer {
-    /// Whether it is worth asking.
+    /// Whether requests should be sent to it: it is a member, not stopping and not suspected.
     pub fn is_usable(&self) -> bool {
         self.listed && !self.stopping && self.failures < SUSPECT_AFTER_FAILURES
     }
 
-    /// Takes in which start of it runs; what was known of another one counts no more.
+    /// Records which start of the peer is running; on a restart, resets what was known of the
+    /// earlier start.
     fn set_incarnation(&mut self, start: Incarnation) {
         if self.incarnation == Some(start) {
             return;
@@ -144,83 +146,88 @@
     }
 }
 
-/// The view of this daemon.
+/// This daemon's membership view.
 #[derive(Debug, Clone, Serialize)]
 pub struct Members {
     me: Name,
     my_key: u64,
     peers: BTreeMap<Name, Peer>,
-    /// What the platform's list said of this start of the daemon.
-    list: ListSeen,
+    /// Whether the platform's list was received since this daemon's start, and names it.
+    list: ListState,
 }
 
-/// What the platform's list has told a daemon since it started.
+/// Whether the platform's list was received since this daemon's start, and names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-enum ListSeen {
-    /// It was not seen yet.
-    Not,
-    /// This daemon is not on it: the fleet may be starting, and others are missing too.
-    WithoutMe,
-    /// It names this daemon, from an earlier start of it or from this one.
-    WithMe,
+enum ListState {
+    /// The list was not received.
+    #[serde(rename = "Not")]
+    NotReceived,
+    /// The list lacks this daemon: the fleet may be starting, and other daemons may be missing
+    /// too.
+    #[serde(rename = "WithoutMe")]
+    WithoutSelf,
+    /// The list contains this daemon, from an earlier start or from the current one.
+    #[serde(rename = "WithMe")]
+    WithSelf,
 }
 
-/// How many daemons a fleet has, by the platform's list.
+/// Number of daemons in the fleet, by the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetSize {
-    /// The list was not seen since the start.
+    /// The list was not received since this daemon's start.
     Unknown,
-    /// At least so many: the list may be that of a fleet which is still starting.
+    /// A lower bound: the list may be that of a fleet that is still starting.
     AtLeast(usize),
-    /// So many.
+    /// The number of listed daemons.
     Listed(usize),
 }
 
 impl Members {
-    /// A view that knows nobody yet.
+    /// Creates a view without peers for the daemon named `me`.
     pub fn new(me: Name) -> Self {
         let my_key = name_key(&me);
-        Members { me, my_key, peers: BTreeMap::new(), list: ListSeen::Not }
+        Members { me, my_key, peers: BTreeMap::new(), list: ListState::NotReceived }
     }
 
-    /// Every peer that is known.
+    /// Iterates over all known peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Peers worth asking.
+    /// Iterates over the usable peers; see [`Peer::is_usable`].
     pub fn usable(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(|peer| peer.is_usable())
     }
 
-    /// How many daemons the fleet has, this one included. Peers that don't answer count: a
-    /// fleet is no smaller in a cut, nor right after all of it has started anew and nobody
-    /// was heard yet.
+    /// Returns the number of daemons in the fleet, including this one. Peers that don't answer
+    /// count: the fleet is no smaller during a network partition, nor right after a restart of
+    /// all daemons, before their first heartbeats.
     pub fn fleet_size(&self) -> FleetSize {
-        let there = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
-        let size = 1 + there.count();
+        let active = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
+        let size = 1 + active.count();
         match self.list {
-            ListSeen::Not => FleetSize::Unknown,
-            ListSeen::WithoutMe => FleetSize::AtLeast(size),
-            ListSeen::WithMe => FleetSize::Listed(size),
+            ListState::NotReceived => FleetSize::Unknown,
+            ListState::WithoutSelf => FleetSize::AtLeast(size),
+            ListState::WithSelf => FleetSize::Listed(size),
         }
     }
 
-    /// Hash of who is there: equal for the same daemons, whoever of them answers.
+    /// Returns the hash of the set of members, whether or not they answer; equal on all daemons
+    /// that know the same members.
     pub fn digest(&self) -> u64 {
-        let there = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
-        there.fold(self.my_key, |digest, peer| digest ^ peer.key)
+        let active = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
+        active.fold(self.my_key, |digest, peer| digest ^ peer.key)
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's host list.
     pub fn apply_host_list(&mut self, hosts: &[Host]) {
         let names_me = hosts.iter().any(|host| host.name == self.me);
-        if names_me || self.list == ListSeen::Not {
-            self.list = if names_me { ListSeen::WithMe } else { ListSeen::WithoutMe };
+        if names_me || self.list == ListState::NotReceived {
+            self.list = if names_me { ListState::WithSelf } else { ListState::WithoutSelf };
         }
         for peer in self.peers.values_mut() {
-            // One that spoke before the list had it is new there, not gone: taken for
-            // gone until its next heartbeat, nobody was asked for tokens meanwhile.
+            // A peer that sent heartbeats before it was on the list is new, not removed. If it
+            // counted as removed until its next heartbeat, it could not be asked for tokens.
             peer.listed &= !peer.was_on_list;
         }
         let daemons = hosts.iter().filter(|host| host.role == HostRole::Daemon);
@@ -241,7 +248,7 @@
         });
     }
 
-    /// Takes in a heartbeat, received or answered.
+    /// Applies a heartbeat of a peer, received as a request or as a response.
     pub fn record_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if heartbeat.name == self.me {
             return;
@@ -252,13 +259,13 @@
         peer.revision = peer.revision.max(heartbeat.revision);
         peer.stopping = heartbeat.stopping;
         peer.failures = 0;
-        // A peer that speaks is live, whatever the lagging list says.
+        // A peer that sends heartbeats is a member, even if the lagging list lacks it.
         peer.listed = true;
         peer.heard_at = Some(now);
     }
 
-    /// Takes in which start of a peer has answered: in a large fleet most peers are never
-    /// heard in heartbeats, and what is to go back to one has to name its start.
+    /// Records which start of a peer has answered a call: in a large fleet most peers exchange
+    /// no heartbeats with this daemon, and tokens returned to a peer have to name its start.
     pub fn record_answer(&mut self, name: &Name, start: Incarnation) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.set_incarnation(start);
@@ -266,76 +273,76 @@
         }
     }
 
-    /// Takes in that peers answer again after all of them were silent to this
-    /// daemon: what it suspects of others says nothing of them.
+    /// Clears the failures of all peers when peers answer again after none of them answered
+    /// this daemon: the failures were then those of its own connection.
     pub fn clear_failures(&mut self) {
         for peer in self.peers.values_mut() {
             peer.failures = 0;
         }
     }
 
-    /// Takes in that a peer did not answer.
+    /// Records that a peer did not answer a call.
     pub fn record_failure(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.failures = peer.failures.saturating_add(1);
         }
     }
 
-    /// Up to `count` peers for the next heartbeats: in a small fleet a different
-    /// few each time, in a large one always the same neighbours and one of those
-    /// that are suspected, so that the connections of a daemon do not grow with
-    /// the fleet.
+    /// Returns the peers for the next heartbeats: in a small fleet up to `count` peers drawn by
+    /// `seed`, in a large one `count` fixed neighbours and one suspected peer, so that the
+    /// number of a daemon's connections does not grow with the fleet.
     pub fn heartbeat_targets(&self, count: usize, seed: u64) -> Vec<Peer> {
         let peers: Vec<&Peer> = self.peers.values().filter(|peer| !peer.stopping).collect();
         if peers.len() <= count * SMALL_FLEET_ROUNDS {
             return first_by_score(peers, seed, count);
         }
-        let (suspected, well): (Vec<&Peer>, Vec<&Peer>) =
+        let (suspected, healthy): (Vec<&Peer>, Vec<&Peer>) =
             peers.into_iter().partition(|peer| peer.failures >= SUSPECT_AFTER_FAILURES);
-        let mut targets = first_by_score(well, self.my_key, count);
+        let mut targets = first_by_score(healthy, self.my_key, count);
         targets.extend(first_by_score(suspected, seed, 1));
         targets
     }
 
-    /// Up to `count` usable peers, drawn by `seed`.
+    /// Returns up to `count` usable peers, drawn by `seed`.
     pub fn sample(&self, count: usize, seed: u64) -> Vec<Peer> {
         first_by_score(self.usable().collect(), seed, count)
     }
 
-    /// Usable peers and this daemon (none) in the order of their claim to own
-    /// `key`; every daemon with the same view comes to the same order.
-    pub fn owners(&self, key: u64, most: usize) -> Vec<Option<Peer>> {
-        self.ranked(key, most, self.usable())
+    /// Returns up to `max_count` candidates for the ownership of `key`, the owner first, among
+    /// the usable peers and this daemon (`None`). The order is by rendezvous hashing, so it is
+    /// the same on all daemons with the same view.
+    pub fn owners(&self, key: u64, max_count: usize) -> Vec<Option<Peer>> {
+        self.ranked(key, max_count, self.usable())
     }
 
-    /// As [`Members::owners`], with peers that don't answer this daemon: in a cut the order is
-    /// the same on both sides.
-    pub fn owners_including_silent(&self, key: u64, most: usize) -> Vec<Option<Peer>> {
-        let there = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
-        self.ranked(key, most, there)
+    /// As [`Members::owners`], including peers that don't answer this daemon: during a network
+    /// partition the order is the same on both sides.
+    pub fn owners_including_silent(&self, key: u64, max_count: usize) -> Vec<Option<Peer>> {
+        let active = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
+        self.ranked(key, max_count, active)
     }
 
     fn ranked<'a>(
         &self,
         key: u64,
-        most: usize,
+        max_count: usize,
         peers: impl Iterator<Item = &'a Peer>,
     ) -> Vec<Option<Peer>> {
         let mine = (rendezvous_score(key, self.my_key), None);
         let others = peers.map(|peer| (rendezvous_score(key, peer.key), Some(peer)));
         let mut ranked: Vec<(u64, Option<&Peer>)> = others.chain([mine]).collect();
         let highest_first = |(score, _): &(u64, Option<&Peer>)| std::cmp::Reverse(*score);
-        if most < ranked.len() {
-            // Hundreds of peers, of whom a few are asked.
-            ranked.select_nth_unstable_by_key(most, highest_first);
-            ranked.truncate(most);
+        if max_count < ranked.len() {
+            // Avoids sorting hundreds of peers where a few are needed.
+            ranked.select_nth_unstable_by_key(max_count, highest_first);
+            ranked.truncate(max_count);
         }
         ranked.sort_unstable_by_key(highest_first);
         ranked.into_iter().map(|(_, peer)| peer.cloned()).collect()
     }
 
-    /// How many usable peers of the hall come before this daemon as readers of
-    /// the store.
+    /// Returns the number of usable peers of the hall that rank before this daemon as readers
+    /// of the store.
     pub fn store_reader_rank(&self, hall: &Name) -> usize {
         let key = name_key(hall);
         let mine = rendezvous_score(key, self.my_key);
@@ -343,11 +350,10 @@
         in_hall.filter(|peer| rendezvous_score(key, peer.key) > mine).count()
     }
 
-    /// Whether this daemon is one of the `count` that read the store for their
-    /// hall; else the peers of the hall that do, the first one first.
+    /// Checks whether this daemon is one of the `count` that read the store for their hall.
     ///
     /// # Errors
-    /// The peers to ask instead.
+    /// Returns the peers of the hall that read it instead, in the order of their rank.
     pub fn check_store_reader(&self, hall: &Name, count: usize) -> Result<(), Vec<Peer>> {
         let key = name_key(hall);
         let in_hall = self.usable().filter(|peer| peer.hall == *hall);
@@ -378,7 +384,7 @@
     }
 }
 
-/// The first `count` peers in the order that `seed` gives them.
+/// Returns the first `count` peers in the order given by `seed`.
 fn first_by_score(mut peers: Vec<&Peer>, seed: u64, count: usize) -> Vec<Peer> {
     peers.sort_unstable_by_key(|peer| rendezvous_score(seed, peer.key));
     peers.into_iter().take(count).cloned().collect()
