--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,31 +1,31 @@
-//! Server-sent events with rising numbers: where one ends, and whether it is
-//! the next.
+//! Server-sent events with increasing ids: splitting a byte stream into events,
+//! and detecting duplicates and gaps.
 
-/// Largest event, in bytes; a stream with a larger one is broken.
+/// Maximum size of an event, in bytes; a stream with a larger one is invalid.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event.
+/// One complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawEvent {
-    /// Its number, when it has one.
+    /// Its id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes as they came, with the empty line that ends it.
+    /// Its bytes as received, including the empty line that ends it.
     pub raw: Vec<u8>,
 }
 
-/// Splits bytes into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes; whole events come out of [`EventSplitter::next_event`].
+    /// Appends received bytes; [`EventSplitter::next_event`] returns the complete events.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; none if more bytes are needed.
     pub fn next_event(&mut self) -> Option<RawEvent> {
         let end = end_of_event(&self.buf)?;
         let rest = self.buf.split_off(end);
@@ -33,16 +33,16 @@
         Some(RawEvent { id: id_of(&raw), raw })
     }
 
-    /// Whether nothing of a further event has come.
+    /// Whether the buffer is empty, without a partial event.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 }
 
 fn end_of_event(buf: &[u8]) -> Option<usize> {
-    let plain = buf.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let carriage = buf.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    plain.into_iter().chain(carriage).min()
+    let lf = buf.windows(2).position(|bytes| bytes == b"\n\n").map(|at| at + 2);
+    let crlf = buf.windows(4).position(|bytes| bytes == b"\r\n\r\n").map(|at| at + 4);
+    lf.into_iter().chain(crlf).min()
 }
 
 fn id_of(raw: &[u8]) -> Option<u64> {
@@ -51,48 +51,49 @@
     std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
 
-/// What is to become of an event.
+/// How a received event is handled, by its position in the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventAction {
-    /// It is the next one.
+    /// The next event, which is to be delivered.
     Deliver,
-    /// It was delivered before.
+    /// An event that was delivered before.
     Duplicate,
-    /// Events before it are missing.
+    /// An event after a gap: events before it are missing.
     Gap,
 }
 
-/// Where a stream stands.
+/// Tracks the id of the last delivered event of a stream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EventSequence {
     last: Option<u64>,
 }
 
 impl EventSequence {
-    /// The order of a stream that goes on after this event; of a new one when
-    /// there is none.
+    /// Creates the sequence of a stream that resumes after the event `last`, or
+    /// of a new stream if there is none.
     pub fn after(last: Option<u64>) -> Self {
         EventSequence { last }
     }
 
-    /// Number of the last event that was delivered.
+    /// Returns the id of the last delivered event.
     pub fn last(self) -> Option<u64> {
         self.last
     }
 
-    /// Judges the event of this number. Events without one carry no piece of
-    /// the answer and are delivered; the first number of a stream may be any.
+    /// Classifies the event with this id, and records it if it is to be delivered.
+    /// Events without an id contain no part of the response and are delivered; a
+    /// new stream may start with any id.
     pub fn accept(&mut self, id: Option<u64>) -> EventAction {
         let Some(id) = id else { return EventAction::Deliver };
-        let verdict = match self.last {
+        let action = match self.last {
             None => EventAction::Deliver,
             Some(last) if id <= last => EventAction::Duplicate,
             Some(last) if id == last + 1 => EventAction::Deliver,
             Some(_) => EventAction::Gap,
         };
-        if verdict == EventAction::Deliver {
+        if action == EventAction::Deliver {
             self.last = Some(id);
         }
-        verdict
+        action
     }
 }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,22 +1,22 @@
-//! How current a daemon's table, server list and list of evacuated halls are.
+//! Age of a daemon's table, server list and list of evacuated halls.
 //!
-//! A daemon that watches the store knows both up to its last answer. One that
-//! learns from peers is as current as the peer whose versions it has caught up
-//! with, less the age that the peer told. Who is not current enough asks the
-//! store itself, so that nobody depends on peers that are cut off from it.
+//! A daemon that watches the store is current as of the store's last response. One that
+//! learns from peers is as current as the peer whose versions it has reached: as of now,
+//! less the age that the peer reported. A daemon whose view is too old reads the store
+//! itself, so that no daemon depends on peers that are cut off from the store.
 
 use serde::Serialize;
 
 use crate::Millis;
 
-/// When an answer of the store was true at the latest: as it came, or as it was asked for if
-/// it took longer than `longest_ms`. A host that stood still meanwhile finds answers waiting
-/// that are as old as its sleep, and took them for new.
+/// Returns the time as of which a response of the store counts as current: its arrival, or the
+/// time of the request if it took longer than `longest_ms`. A host that was suspended meanwhile
+/// finds queued responses that are as old as the suspension and must not count as new.
 pub fn answer_time(asked_at: Millis, came_at: Millis, longest_ms: Millis) -> Millis {
     if came_at.saturating_sub(asked_at) > longest_ms { asked_at } else { came_at }
 }
 
-/// Until when the table and the lists are known to be complete.
+/// Times up to which the table and the lists are known to be complete.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Freshness {
     table_at: Option<Millis>,
@@ -26,36 +26,37 @@
 }
 
 impl Freshness {
-    /// Nothing is known yet. `follows_halls` tells whether the list of halls that take no
-    /// new work counts too.
+    /// Creates a record without reads. `follows_halls` sets whether the list of evacuated halls
+    /// counts too.
     pub fn new(follows_halls: bool) -> Self {
         Freshness { follows_halls, ..Freshness::default() }
     }
 
-    /// The store told the table as it stood at `at`.
+    /// Records that the table was read from the store as of `at`.
     pub fn record_table_read(&mut self, at: Millis) {
         self.table_at = self.table_at.max(Some(at));
     }
 
-    /// The store told the server list as it stood at `at`.
+    /// Records that the server list was read from the store as of `at`.
     pub fn record_servers_read(&mut self, at: Millis) {
         self.servers_at = self.servers_at.max(Some(at));
     }
 
-    /// The store told the list of halls as it stood at `at`.
+    /// Records that the list of evacuated halls was read from the store as of `at`.
     pub fn record_halls_read(&mut self, at: Millis) {
         self.halls_at = self.halls_at.max(Some(at));
     }
 
-    /// A peer that knows nothing newer is this current.
-    pub fn record_peer_sync(&mut self, now: Millis, age: Millis) {
-        let at = now.saturating_sub(age);
+    /// Records that this daemon has all versions of a peer which, asked at `asked_at`, reported
+    /// a view of this `age`.
+    pub fn record_peer_sync(&mut self, asked_at: Millis, age: Millis) {
+        let at = asked_at.saturating_sub(age);
         self.record_table_read(at);
         self.record_servers_read(at);
         self.record_halls_read(at);
     }
 
-    /// Age of the oldest of them; none before all were told once.
+    /// Returns the age of the oldest part of the view; none before all parts were received.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         let mut at = self.table_at?.min(self.servers_at?);
         if self.follows_halls {
@@ -64,7 +65,7 @@
         Some(now.saturating_sub(at))
     }
 
-    /// Whether what is known may be older than `limit`.
+    /// Whether the view may be older than `limit`; true before all parts were received.
     pub fn is_older_than(&self, limit: Millis, now: Millis) -> bool {
         self.age(now).is_none_or(|age| age > limit)
     }
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,57 +1,57 @@
-//! Life cycle of one attempt, as types: what may be told to a caller depends
-//! on how far the attempt has come, and the compiler checks it.
+//! Life cycle of one attempt as a typestate: the state of an attempt determines
+//! which responses the caller may receive, and the compiler checks it.
 //!
-//! "Not run" can be told only by an attempt that has not been dispatched; once
-//! it has, the answer is the whole one or "unknown".
+//! Only an attempt that has not been dispatched can end as "not run"; after
+//! dispatch, the response is the complete one or "unknown".
 
 use crate::holder::{Holder, Reservation};
 use crate::{AttemptId, RequestHash, Tokens};
 
-/// The request was read and its workspace is known.
+/// State: the request was read and its workspace is known.
 #[derive(Debug)]
 pub struct Received;
 
-/// Its greatest cost is set aside.
+/// State: the maximum cost of the request is reserved.
 #[derive(Debug)]
 pub struct Admitted {
     reservation: Reservation,
 }
 
-/// It may have reached a backend server.
+/// State: the request may have reached a backend server.
 #[derive(Debug)]
 pub struct Dispatched {
     reservation: Reservation,
 }
 
-/// The backend server has ended it, at this cost.
+/// State: the attempt has ended, at this cost.
 #[derive(Debug)]
 pub struct Finished {
     used: Tokens,
 }
 
-/// Proof that no byte of a request was written to the backend server: the
-/// connection itself failed, or the server said that it did not run it.
+/// Proof that a backend server did not execute the request: no byte of it was
+/// written, or the server responded that it did not execute it.
 #[derive(Debug)]
 pub struct NotExecuted(());
 
 impl NotExecuted {
-    /// The connection could not be made.
+    /// The connection to the backend server could not be established.
     pub fn connection_failed() -> Self {
         NotExecuted(())
     }
 
-    /// It was not sent.
+    /// The request was not sent.
     pub fn never_sent() -> Self {
         NotExecuted(())
     }
 
-    /// The backend server refused the request and said that it did not run.
+    /// The backend server refused the request and responded that it did not execute it.
     pub fn refused_by_server() -> Self {
         NotExecuted(())
     }
 }
 
-/// The right to tell the caller "not run"; made only before dispatch.
+/// Permission to respond "not run" to the caller; created only before dispatch.
 #[derive(Debug)]
 pub struct NotRun {
     /// The attempt that did not run.
@@ -69,40 +69,40 @@
 }
 
 impl<S> Attempt<S> {
-    fn with<T>(self, make: impl FnOnce(S) -> T) -> Attempt<T> {
-        Attempt { request: self.request, id: self.id, state: make(self.state) }
+    fn map_state<T>(self, map: impl FnOnce(S) -> T) -> Attempt<T> {
+        Attempt { request: self.request, id: self.id, state: map(self.state) }
     }
 }
 
 impl Attempt<Received> {
-    /// An attempt at a request that was just read.
+    /// Creates an attempt at a request that was just read.
     pub fn new(request: RequestHash, id: AttemptId) -> Self {
         Attempt { request, id, state: Received }
     }
 
-    /// Goes on with the tokens set aside.
+    /// Admits the attempt with its reserved tokens.
     pub fn admit(self, reservation: Reservation) -> Attempt<Admitted> {
-        self.with(|_| Admitted { reservation })
+        self.map_state(|_| Admitted { reservation })
     }
 
-    /// Ends it before anything ran.
+    /// Ends the attempt before execution.
     pub fn not_run(self) -> NotRun {
         NotRun { attempt: self.id }
     }
 }
 
 impl Attempt<Admitted> {
-    /// The most that it may cost.
+    /// Returns the maximum cost.
     pub fn limit(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
-    /// From here on it may have run.
+    /// Marks the attempt as dispatched; from then on it may have been executed.
     pub fn dispatch(self) -> Attempt<Dispatched> {
-        self.with(|state| Dispatched { reservation: state.reservation })
+        self.map_state(|state| Dispatched { reservation: state.reservation })
     }
 
-    /// Ends it before anything ran; its tokens are free again.
+    /// Ends the attempt before execution and releases its tokens.
     pub fn not_run(self, holder: &mut Holder) -> NotRun {
         holder.settle(self.state.reservation, 0);
         NotRun { attempt: self.id }
@@ -110,18 +110,18 @@
 }
 
 impl Attempt<Dispatched> {
-    /// The most that it may cost.
+    /// Returns the maximum cost.
     pub fn limit(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
-    /// Goes back: it is proved that nothing ran.
+    /// Returns to the admitted state, given proof that the request was not executed.
     pub fn revert_dispatch(self, _proof: NotExecuted) -> Attempt<Admitted> {
-        self.with(|state| Admitted { reservation: state.reservation })
+        self.map_state(|state| Admitted { reservation: state.reservation })
     }
 
-    /// Ends it at the cost that the backend server told, or the greatest cost
-    /// when that is not known.
+    /// Ends the attempt at the cost that the backend server reported, at most the
+    /// reserved maximum; at the maximum if the cost is unknown.
     pub fn finish(self, holder: &mut Holder, used: Option<Tokens>) -> Attempt<Finished> {
         let reservation = self.state.reservation;
         let used = used.unwrap_or(reservation.tokens()).min(reservation.tokens());
@@ -131,7 +131,7 @@
 }
 
 impl Attempt<Finished> {
-    /// What it cost.
+    /// Returns the cost.
     pub fn used(&self) -> Tokens {
         self.state.used
     }
--- a/crates/core/src/store_read_policy.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -1,127 +1,130 @@
-//! When a daemon asks the store itself, and when it leaves that to others.
+//! When a daemon reads the store itself, and when it relies on peers.
 //!
-//! Load patterns: the store is away from hundreds of daemons, and each would probe it
-//! five times a second; all daemons start within a second, and each would read the lists
-//! that two of its hall could hand it. Calls of a store that is away are paid for too.
+//! This limits the load on the store in two cases: hundreds of daemons lose the store, and each
+//! would probe it five times a second; all daemons start within a second, and each would read
+//! the lists, which two daemons of its hall could send to it. Calls to an unavailable store are
+//! charged too.
 //!
-//! A few daemons of each hall read for all of it. The others are told by heartbeats, and
-//! ask the store when what they know is too old, so that nobody depends on peers that are
-//! cut off from it.
+//! A few daemons of each hall, the readers, read the store for all of it. The others receive
+//! the state from peers after heartbeats, and read the store when their view is too old, so
+//! that no daemon depends on peers that are cut off from the store.
 
 use crate::Millis;
 
-/// A daemon that learns of changes from peers asks the store itself once its view
-/// is older than this, in milliseconds: readers hear of the store each 1.5 s at
-/// least, heartbeats take another 0.5 to 1 s, and changes are to be in force
-/// everywhere within 2 to 3 s.
+/// Age of its view after which a daemon that learns of changes from peers reads the store
+/// itself, in milliseconds: readers receive a response of the store at least every 1.5 s,
+/// heartbeats take another 0.5 to 1 s, and changes are to be in force everywhere within 2 to 3 s.
 pub const STALE_VIEW_MS: Millis = 2_500;
 
-/// Each daemon that stands further back in the order of readers waits this much
-/// longer, in milliseconds, so that a few step in for readers that are gone, not
-/// all at once.
-const STEP_MS: Millis = 25;
+/// Additional wait for each further rank after the readers, in milliseconds, so that a few
+/// daemons replace failed readers, not all of the hall at once.
+const RANK_DELAY_MS: Millis = 25;
 
-/// The most that all of those steps come to, in milliseconds: a change that comes right after
-/// the last word of readers that are cut off is then read 2.75 s later, and in force in 3 s.
-const STEPS_MS: Millis = 250;
+/// Upper bound of the additional wait, in milliseconds: a change right after the last message
+/// of readers that are then cut off is read 2.75 s later, and in force within 3 s.
+const MAX_RANK_DELAY_MS: Millis = 250;
 
-/// The same for daemons that start, which would all read at once, and the most of that, in
-/// milliseconds.
-const START_STEP_MS: Millis = 50;
-const START_STEPS_MS: Millis = 500;
+/// Additional wait for each further rank at startup, where all daemons would read at once, and
+/// its upper bound, in milliseconds.
+const STARTUP_RANK_DELAY_MS: Millis = 50;
+const MAX_STARTUP_RANK_DELAY_MS: Millis = 500;
 
-/// Pause of a reader between two looks whether the store is back, in milliseconds: what a
-/// server says of leaving is to be known within two seconds of the store's return.
+/// Interval at which a reader probes an unavailable store, in milliseconds: a server's
+/// announcement that it is leaving is to be known within two seconds of the store's return.
 const READER_PROBE_MS: Millis = 200;
 
-/// Shortest and longest pause of the others, in milliseconds. Readers know of a return
-/// within 0.2 s, and neighbours tell all of 300 daemons in some 0.1 s; who is told by
-/// nobody has 3 s, the shortest time in which the users' hosts are to be in touch again.
-const OTHERS_PROBE_MS: (Millis, Millis) = (500, 1_500);
+/// Shortest and longest probe interval of other daemons, in milliseconds. Readers detect a
+/// return within 0.2 s, and the notification reaches all of 300 daemons in some 0.1 s; a daemon
+/// that is not notified has 3 s, the shortest time within which the users' hosts are to be
+/// connected again.
+const NON_READER_PROBE_RANGE_MS: (Millis, Millis) = (500, 1_500);
 
-/// After so many looks that failed one after the other the store is taken to be away. One
-/// may fail though the store is there: a kept connection was closed at its other end.
-const AWAY_AFTER: u32 = 2;
+/// Number of consecutive failed probes after which the store counts as unavailable. One may fail
+/// while the store is available, if the remote end has closed a kept-alive connection.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// How long a start in a fleet that was there before waits for peers to hand it what the
-/// store would tell, in milliseconds: a greeting and a fetch take some 50 ms.
-const RESTART_PATIENCE_MS: Millis = 300;
+/// Time for which a daemon that starts in a running fleet waits to receive the store's state
+/// from peers, in milliseconds: a handshake and a fetch take some 50 ms.
+const RESTART_WAIT_MS: Millis = 300;
 
-/// The same in a fleet that starts as a whole, or while the store is away, in
-/// milliseconds: 300 daemons had the table from each other after 0.8 s and the list of
-/// servers after 1 s; the host list is read again 1.3 s after the start. Hosts are to be in
-/// touch 3 s after theirs.
-const FIRST_START_PATIENCE_MS: Millis = 1_800;
+/// The same when all of the fleet starts, or while the store is unavailable, in milliseconds:
+/// 300 daemons had the table from each other after 0.8 s and the list of servers after 1 s; the
+/// host list is read again 1.3 s after the start. Hosts are to be connected 3 s after their
+/// start.
+const FLEET_START_WAIT_MS: Millis = 1_800;
 
-/// Where a daemon stands among those that could read the store for its hall.
+/// Rank of a daemon among the possible readers of the store in its hall, and the delays that
+/// follow from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreReadPolicy {
-    /// Peers of the hall that come before it.
+    /// Number of peers in the hall that rank before this daemon.
     pub rank: usize,
-    /// How many of a hall read for all of it.
+    /// Number of readers per hall.
     pub readers: usize,
-    /// Daemons of the fleet, by the platform's list; none while that may be incomplete.
+    /// Number of daemons in the fleet, by the platform's list; none while the list may be
+    /// incomplete.
     pub fleet: Option<usize>,
-    /// Up to this many daemons each reads by itself when it starts.
+    /// Largest fleet in which each daemon reads the store by itself at startup.
     pub small_fleet: usize,
-    /// Whether the settings name other daemons that may be asked.
+    /// Whether the settings name seed peers.
     pub has_seeds: bool,
-    /// Whether the settings of all daemons name this one.
+    /// Whether this daemon is a seed peer, named in the settings of all daemons.
     pub is_seed: bool,
 }
 
 impl StoreReadPolicy {
-    /// Whether it reads the store for its hall.
+    /// Whether this daemon reads the store for its hall.
     fn is_reader(&self) -> bool {
-        let is_first = self.rank < self.readers;
-        // Before the list is seen everybody seems to be the first.
-        if self.fleet.is_none() && self.has_seeds { self.is_seed } else { is_first }
+        let is_top_ranked = self.rank < self.readers;
+        // Before the list is received, each daemon ranks itself first.
+        if self.fleet.is_none() && self.has_seeds { self.is_seed } else { is_top_ranked }
     }
 
-    /// How many daemons of the hall come before it that are no readers, and itself.
-    fn behind(&self) -> Millis {
+    /// Returns the rank after the readers, counted from 1; 0 for readers.
+    fn rank_after_readers(&self) -> Millis {
         (self.rank + 1).saturating_sub(self.readers) as Millis
     }
 
-    fn start_steps(&self) -> Millis {
-        (self.behind() * START_STEP_MS).min(START_STEPS_MS)
+    fn startup_rank_delay(&self) -> Millis {
+        (self.rank_after_readers() * STARTUP_RANK_DELAY_MS).min(MAX_STARTUP_RANK_DELAY_MS)
     }
 
-    /// The age of what it knows up to which it leaves the store to others, in
-    /// milliseconds; none for a reader, which watches the store itself.
+    /// Returns the age of its view, in milliseconds, from which on this daemon reads the store
+    /// itself; none for a reader, which watches the store all the time.
     pub fn stale_after(&self) -> Option<Millis> {
-        let is_first = self.rank < self.readers;
-        let steps = (self.behind() * STEP_MS).min(STEPS_MS);
-        (!is_first).then_some(STALE_VIEW_MS + steps)
+        let is_top_ranked = self.rank < self.readers;
+        let rank_delay = (self.rank_after_readers() * RANK_DELAY_MS).min(MAX_RANK_DELAY_MS);
+        (!is_top_ranked).then_some(STALE_VIEW_MS + rank_delay)
     }
 
-    /// How much longer, in milliseconds, it leaves the store to others when what it knows is
-    /// this old; none when it asks the store itself.
+    /// Returns the time, in milliseconds, for which this daemon still relies on peers with a view
+    /// of age `view_age`; none if it reads the store itself.
     pub fn time_until_stale(&self, view_age: Option<Millis>) -> Option<Millis> {
         let left = self.stale_after()?.checked_sub(view_age?)?;
         (left > 0).then_some(left)
     }
 
-    /// How long after its start it waits to be handed what the store would tell, in
-    /// milliseconds; 0 when it reads at once.
+    /// Returns the time after its start, in milliseconds, for which this daemon waits to receive
+    /// the store's state from peers; 0 if it reads the store at once.
     pub fn startup_wait(&self) -> Millis {
         if !self.has_seeds || self.is_seed {
             return 0;
         }
         match self.fleet {
-            None => FIRST_START_PATIENCE_MS + self.start_steps(),
+            None => FLEET_START_WAIT_MS + self.startup_rank_delay(),
             Some(daemons) if daemons <= self.small_fleet || self.is_reader() => 0,
-            Some(_) => RESTART_PATIENCE_MS + self.start_steps(),
+            Some(_) => RESTART_WAIT_MS + self.startup_rank_delay(),
         }
     }
 
-    /// Pause after so many `failures` in a row to look at the store, in milliseconds.
-    /// `spread`, from 0 to 1, keeps those apart that lost it together.
+    /// Returns the time until the next probe of the store after this many consecutive `failures`,
+    /// in milliseconds. `spread`, a random number from 0 to 1, keeps daemons that lost the store
+    /// together from probing it together.
     pub fn probe_interval(&self, failures: u32, spread: f64) -> Millis {
-        if self.is_reader() || failures < AWAY_AFTER {
+        if self.is_reader() || failures < UNAVAILABLE_AFTER_FAILURES {
             return READER_PROBE_MS;
         }
-        let (shortest, longest) = OTHERS_PROBE_MS;
+        let (shortest, longest) = NON_READER_PROBE_RANGE_MS;
         shortest + ((longest - shortest) as f64 * spread) as Millis
     }
 }
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -1,11 +1,11 @@
-//! What this daemon attests for others: how much of a sealed grant each holder
-//! has opened.
+//! Witness records: how much of its sealed grant each holder has opened.
 //!
-//! A holder may spend only what is opened of its grant. The store records what
-//! was opened with a draw; in an outage the holder's witnesses record it
-//! instead, and all of them have to agree. One of them, asked to close a holder,
-//! says how much it opened and agrees to nothing further. What was never opened
-//! can then be taken back, whether the holder is dead, frozen or cut off.
+//! A holder may spend only the opened part of its grant. The store records the
+//! opened amount with a draw; during an outage of the store the holder's witnesses
+//! record it instead, and all of them have to agree. A witness that is asked to
+//! close a holder returns the amount that it opened, and rejects further openings.
+//! The part that was never opened can then be reclaimed, whether the holder has
+//! crashed, hangs or is cut off.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 
 use crate::{Incarnation, Name, Tokens};
 
-/// A daemon that attests for a holder.
+/// A daemon that records the opened amount for a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
-    /// The daemon's start; a later start knows nothing.
+    /// The daemon's start; a later start has lost the records.
     pub incarnation: Incarnation,
-    /// Its peer port.
+    /// Address of its peer port.
     pub address: Arc<str>,
 }
 
@@ -29,15 +29,15 @@
     closed: bool,
 }
 
-/// The marks that this daemon keeps for others.
+/// The records that this daemon keeps as a witness, by holder and budget.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct WitnessMarks {
     marks: HashMap<Incarnation, HashMap<Name, Mark>>,
 }
 
 impl WitnessMarks {
-    /// Agrees that `holder` opens its grant up to the cumulative sum `opened`;
-    /// false when the holder is closed.
+    /// Records that `holder` opens its grant up to the cumulative sum `opened`; returns false,
+    /// and records nothing, if the holder is closed.
     pub fn open(&mut self, holder: Incarnation, budget: &Name, opened: Tokens) -> bool {
         let mark = self.mark(holder, budget);
         if mark.closed {
@@ -47,19 +47,19 @@
         true
     }
 
-    /// Agrees to nothing further of `holder`; returns what it had opened here.
+    /// Closes `holder` to further openings; returns the amount that it had opened here.
     pub fn close(&mut self, holder: Incarnation, budget: &Name) -> Tokens {
         let mark = self.mark(holder, budget);
         mark.closed = true;
         mark.opened
     }
 
-    /// Marks that are kept.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.marks.values().map(HashMap::len).sum()
     }
 
-    /// Whether no mark is kept.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.marks.is_empty()
     }
