--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that leave or rest: what one daemon remembers, and what the router makes of it.
+//! Leaving servers and rest periods: what a daemon stores, and how the router applies it.
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::{Closed, LeavingFact, LeavingServers, RestPeriods};
@@ -7,8 +7,8 @@
 use bankcove_core::{Millis, Name};
 use serde_json::json;
 
-/// Longer than a start that nobody lists is remembered.
-const LONG: Millis = 3_600_000;
+/// Longer than the retention time of unlisted starts.
+const LONG_MS: Millis = 3_600_000;
 
 fn start(name: &str, started_ms: Millis) -> ServerStart {
     ServerStart { name: Name::from(name), started_ms }
@@ -19,43 +19,43 @@
 }
 
 #[test]
-fn a_start_leaves_for_good_and_another_one_does_not() {
+fn a_leaving_start_stays_leaving_and_a_later_start_is_not_leaving() {
     let mut leaving = LeavingServers::default();
     assert!(leaving.add(1_000, &start("a", 7), 0));
-    assert!(!leaving.add(2_000, &start("a", 7), 0), "it is known");
-    leaving.forget_old(LONG, |_| true);
-    assert!(leaving.contains(&start("a", 7)), "while it is listed, no time ends it");
+    assert!(!leaving.add(2_000, &start("a", 7), 0), "the start is already known");
+    leaving.forget_old(LONG_MS, |_| true);
+    assert!(leaving.contains(&start("a", 7)), "a listed start never expires");
     assert!(!leaving.contains(&start("a", 8)));
 }
 
 #[test]
-fn a_start_is_forgotten_some_time_after_it_is_no_longer_listed_and_not_at_once() {
+fn an_unlisted_start_is_removed_only_after_the_retention_time() {
     let mut leaving = LeavingServers::default();
     leaving.add(0, &start("a", 7), 0);
     leaving.forget_old(60_000, |_| false);
-    assert!(leaving.contains(&start("a", 7)), "a list that lags may bring it back");
-    leaving.forget_old(LONG, |_| false);
+    assert!(leaving.contains(&start("a", 7)), "a lagging list may contain it again");
+    leaving.forget_old(LONG_MS, |_| false);
     assert!(leaving.is_empty());
     assert_eq!(leaving.digest(), 0);
 }
 
 #[test]
-fn what_was_forgotten_is_not_brought_back_by_peers_unless_it_is_listed() {
+fn a_removed_start_is_not_restored_by_peers_unless_it_is_listed() {
     let mut leaving = LeavingServers::default();
-    let old = fact(&start("a", 7), LONG);
-    assert!(leaving.merge(LONG, std::slice::from_ref(&old), |_| false).is_empty());
-    assert_eq!(leaving.merge(LONG, std::slice::from_ref(&old), |_| true), [old]);
+    let old = fact(&start("a", 7), LONG_MS);
+    assert!(leaving.merge(LONG_MS, std::slice::from_ref(&old), |_| false).is_empty());
+    assert_eq!(leaving.merge(LONG_MS, std::slice::from_ref(&old), |_| true), [old]);
 }
 
 #[test]
-fn daemons_that_know_the_same_starts_have_the_same_digest_whatever_the_order() {
+fn daemons_that_know_the_same_starts_have_the_same_digest_in_any_order() {
     let (mut one, mut other) = (LeavingServers::default(), LeavingServers::default());
     let facts = [fact(&start("a", 1), 5), fact(&start("b", 2), 900), fact(&start("a", 2), 0)];
     one.merge(1_000, &facts, |_| true);
-    let told = one.facts(4_000, usize::MAX, 1);
-    assert_eq!(other.merge(77_000, &told, |_| true).len(), 3);
+    let sent = one.facts(4_000, usize::MAX, 1);
+    assert_eq!(other.merge(77_000, &sent, |_| true).len(), 3);
     assert_eq!(one.digest(), other.digest());
-    assert!(other.merge(78_000, &told, |_| true).is_empty(), "nothing is new the second time");
+    assert!(other.merge(78_000, &sent, |_| true).is_empty(), "no fact is new the second time");
 }
 
 #[test]
@@ -70,17 +70,17 @@
 }
 
 #[test]
-fn an_endless_rest_lasts_until_the_start_is_gone() {
+fn an_endless_rest_lasts_until_the_start_is_unlisted() {
     let (mut rests, server) = (RestPeriods::default(), start("a", 7));
     rests.observe(1_000, &server, Millis::MAX);
-    rests.forget_old(LONG, |_| true);
+    rests.forget_old(LONG_MS, |_| true);
     assert_eq!(rests.end(&server), Millis::MAX);
-    rests.forget_old(LONG, |_| false);
+    rests.forget_old(LONG_MS, |_| false);
     assert!(rests.is_empty());
 }
 
 #[test]
-fn the_gate_tells_which_word_closes_a_server() {
+fn the_router_returns_the_reason_for_which_a_server_is_closed() {
     let mut router = Router::default();
     let server = start("a", 7);
     assert_eq!(router.check_open(0, &server), Ok(()));
@@ -88,11 +88,11 @@
     assert_eq!(router.check_open(1_500, &server), Err(Closed::Resting { left_ms: 2_500 }));
     assert_eq!(router.check_open(4_000, &server), Ok(()));
     assert!(router.observe_leaving(5_000, &server).is_some());
-    assert_eq!(router.check_open(LONG, &server), Err(Closed::Leaving));
-    assert_eq!(router.check_open(LONG, &start("a", 8)), Ok(()));
+    assert_eq!(router.check_open(LONG_MS, &server), Err(Closed::Leaving));
+    assert_eq!(router.check_open(LONG_MS, &start("a", 8)), Ok(()));
 }
 
-fn engine() -> Router {
+fn router_with_engine() -> Router {
     let rows = json!({"servers": [{"name": "a", "hall": "hall-1", "address": "10.0.0.1:1",
                                    "kind": "model", "models": ["m"]}]});
     let mut router = Router::default();
@@ -105,31 +105,31 @@
 }
 
 #[test]
-fn an_engine_of_the_operators_table_leaves_until_its_load_report_tells_of_another_start() {
-    let (mut router, name) = (engine(), Name::from("a"));
-    // The first answer may come before the first load report.
+fn an_engine_of_the_table_stays_leaving_until_a_load_report_with_another_start() {
+    let (mut router, name) = (router_with_engine(), Name::from("a"));
+    // The first response may arrive before the first load report.
     router.observe_leaving(1_000, &start("a", 0));
     router.report(2_000, &name, report(70));
     assert_eq!(router.check_open(2_000, &start("a", 70)), Err(Closed::Leaving));
     assert_eq!(router.check_open(2_000, &start("a", 0)), Err(Closed::Leaving));
     router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a report that says otherwise undoes nothing");
+    assert!(!router.is_staying(3_000, &name, 0), "a report without leaving changes nothing");
     router.report(4_000, &name, report(90));
     assert_eq!(router.check_open(4_000, &start("a", 0)), Ok(()));
     assert!(router.is_staying(4_000, &name, 0));
 }
 
 #[test]
-fn a_table_that_is_adopted_again_keeps_what_was_said() {
-    let (mut router, name) = (engine(), Name::from("a"));
+fn leaving_is_kept_when_a_server_is_removed_from_the_table_and_added_again() {
+    let (mut router, name) = (router_with_engine(), Name::from("a"));
     router.report(1_000, &name, report(70));
     router.observe_leaving(2_000, &start("a", 70));
     let rows = json!({"servers": []});
     let empty: Table = serde_json::from_value(rows).expect("a table");
     router.adopt(&empty);
-    router.adopt(&Table { servers: table_of(&engine()), ..empty });
+    router.adopt(&Table { servers: table_of(&router_with_engine()), ..empty });
     router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a list that lags brings no start back");
+    assert!(!router.is_staying(3_000, &name, 0), "a lagging list restores no leaving start");
 }
 
 fn table_of(router: &Router) -> Vec<Server> {
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,9 +1,9 @@
-//! How current a daemon's view is: from the store, and from peers.
+//! Age of a daemon's view, read from the store or received from peers.
 
 use bankcove_core::freshness::Freshness;
 
 #[test]
-fn a_view_is_as_old_as_its_older_half() {
+fn the_age_of_a_view_is_that_of_its_oldest_part() {
     let mut view = Freshness::default();
     assert_eq!(view.age(1_000), None);
     view.record_table_read(1_000);
@@ -15,17 +15,17 @@
 }
 
 #[test]
-fn who_has_caught_up_with_a_peer_is_as_current_as_the_peer() {
+fn a_daemon_with_all_versions_of_a_peer_is_as_current_as_the_peer() {
     let mut view = Freshness::default();
     view.record_peer_sync(10_000, 400);
     assert_eq!(view.age(10_000), Some(400));
-    // An older word of another peer takes nothing back.
+    // An older view reported by another peer changes nothing.
     view.record_peer_sync(10_100, 2_000);
     assert_eq!(view.age(10_100), Some(500));
 }
 
 #[test]
-fn a_view_that_nobody_told_is_older_than_any_limit() {
+fn a_view_that_was_never_received_is_older_than_any_limit() {
     let mut view = Freshness::default();
     assert!(view.is_older_than(1_000_000, 10));
     view.record_peer_sync(10, 0);
--- a/crates/core/tests/hints.rs
+++ b/crates/core/tests/hints.rs
@@ -1,9 +1,9 @@
-//! What servers may say of themselves: that they leave, and for how long they want rest.
+//! Parsing of the response headers by which servers announce leaving and request rest periods.
 
 use bankcove_core::hints::{Hint, read_leaving, read_retry_after};
 use yare::parameterized;
 
-/// `Date` of an answer, and an instant 90 s later.
+/// `Date` of a response, and a time 90 s later.
 const DATE: &str = "Thu, 03 Dec 2026 08:00:00 GMT";
 const LATER: &str = "Thu, 03 Dec 2026 08:01:30 GMT";
 
@@ -18,7 +18,7 @@
     text = { &["soon"], Hint::Unreadable("soon".to_owned()) },
     empty = { &[""], Hint::Unreadable(String::new()) },
 )]
-fn a_server_leaves_by_its_mark_alone(values: &[&'static str], hint: Hint<()>) {
+fn only_the_mark_announces_leaving(values: &[&'static str], hint: Hint<()>) {
     assert_eq!(read_leaving(values.iter().copied()), hint);
 }
 
@@ -38,11 +38,11 @@
     date = { &[LATER], Hint::Given(90_000) },
     past = { &["Thu, 03 Dec 2026 07:00:00 GMT"], Hint::Absent },
 )]
-fn a_rest_is_read(values: &[&'static str], hint: Hint<u64>) {
+fn retry_after_is_parsed(values: &[&'static str], hint: Hint<u64>) {
     assert_eq!(read_retry_after(values.iter().copied(), Some(DATE)), hint);
 }
 
 #[test]
-fn a_date_says_nothing_without_the_date_of_its_answer() {
+fn a_retry_after_date_is_unreadable_without_the_date_of_its_response() {
     assert_eq!(read_retry_after([LATER], None), Hint::Unreadable(LATER.to_owned()));
 }
--- a/crates/core/tests/list_changes.rs
+++ b/crates/core/tests/list_changes.rs
@@ -1,5 +1,5 @@
-//! The list of servers goes between daemons as what changed. Each daemon fetched the whole list
-//! for each change: 300 hosts before 3,000 servers spent most of their bytes on it.
+//! Incremental replication of the server list between daemons. It guards against sending the full
+//! list for each change, on which 300 hosts with 3,000 servers spent most of their traffic.
 
 use std::collections::BTreeMap;
 
@@ -36,10 +36,11 @@
     Restart(usize),
     Remove(usize),
     Watch(usize),
-    /// The platform was away, and the watcher reads the whole list.
+    /// The platform returns from an outage, and the watcher reads the full list.
     Return(usize),
-    Ask(usize, usize),
-    Pass(Millis),
+    /// The first daemon requests an update from the second.
+    RequestUpdate(usize, usize),
+    PassTime(Millis),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -49,38 +50,39 @@
         2 => (0..NAMES).prop_map(Step::Remove),
         4 => (0..WATCHERS).prop_map(Step::Watch),
         1 => (0..WATCHERS).prop_map(Step::Return),
-        8 => (0..DAEMONS, 0..DAEMONS).prop_map(|(to, from)| Step::Ask(to, from)),
-        1 => (1..3_000_u64).prop_map(Step::Pass),
+        8 => (0..DAEMONS, 0..DAEMONS).prop_map(|(to, from)| Step::RequestUpdate(to, from)),
+        1 => (1..3_000_u64).prop_map(Step::PassTime),
     ]
 }
 
-/// The platform, its watchers, and daemons that are told.
-struct World {
+/// Simulation of the platform, the daemons that watch it, and the daemons that receive updates
+/// from peers.
+struct Simulation {
     now: Millis,
-    rev: u64,
+    revision: u64,
     entries: BTreeMap<usize, (Millis, bool)>,
     /// The last start of each server.
     starts: [Millis; NAMES],
-    /// For each change its name, and the start that was removed.
+    /// For each change the server's number, and the start if it was removed.
     events: Vec<(usize, Option<Millis>)>,
     lists: Vec<ServerList>,
     read_to: [u64; WATCHERS],
-    whole: usize,
-    changes: usize,
+    full_lists_sent: usize,
+    changes_sent: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        World {
+        Simulation {
             now: 10_000,
-            rev: 0,
+            revision: 0,
             entries: BTreeMap::new(),
             starts: [1; NAMES],
             events: Vec::new(),
             lists: vec![ServerList::default(); DAEMONS],
             read_to: [0; WATCHERS],
-            whole: 0,
-            changes: 0,
+            full_lists_sent: 0,
+            changes_sent: 0,
         }
     }
 
@@ -93,7 +95,7 @@
             Some(entry) => drop(self.entries.insert(n, entry)),
             None => drop(self.entries.remove(&n)),
         }
-        self.rev += 1;
+        self.revision += 1;
         self.events.push((n, before.filter(|_| entry.is_none()).map(|(start, _)| start)));
     }
 
@@ -110,8 +112,8 @@
                 self.lists[n].start_lapse_grace(self.now);
                 self.read(n, true);
             }
-            Step::Ask(to, from) => self.ask(to, from),
-            Step::Pass(ms) => {
+            Step::RequestUpdate(to, from) => self.request_update(to, from),
+            Step::PassTime(ms) => {
                 self.now += ms;
                 let now = self.now;
                 self.lists.iter_mut().for_each(|list| _ = list.drop_lapsed(now));
@@ -123,13 +125,13 @@
         if self.read_to[n] == 0 {
             return self.read(n, true);
         }
-        if self.read_to[n] < self.rev {
+        if self.read_to[n] < self.revision {
             self.read(n, false);
         }
     }
 
     fn read(&mut self, n: usize, whole: bool) {
-        let at = self.rev;
+        let at = self.revision;
         let mut changes = ServerChanges { at, whole, ..ServerChanges::default() };
         let listed = |(n, (at, draining)): (&usize, &(Millis, bool))| server(*n, *at, *draining);
         if whole {
@@ -151,38 +153,41 @@
         self.read_to[n] = at;
     }
 
-    fn ask(&mut self, to: usize, from: usize) {
-        // A list that is in doubt is asked for as a whole at once.
+    fn request_update(&mut self, to: usize, from: usize) {
+        // A daemon whose list differs after the changes requests the full list at once.
         for _ in 0..2 {
-            self.ask_once(to, from);
+            self.request_update_once(to, from);
             if !self.lists[to].needs_full_list() {
                 return;
             }
         }
     }
 
-    fn ask_once(&mut self, to: usize, from: usize) {
+    fn request_update_once(&mut self, to: usize, from: usize) {
         if self.lists[from].version() <= self.lists[to].version()
             && !self.lists[to].needs_full_list()
         {
             return;
         }
         let known = self.lists[to].version_for_update();
-        let Some((version, news)) = self.lists[from].update_since(self.now, known) else { return };
-        match news {
-            ListUpdate::Whole(_) => self.whole += 1,
-            ListUpdate::Changes { .. } => self.changes += 1,
+        let Some((version, update)) = self.lists[from].update_since(self.now, known) else {
+            return;
+        };
+        match update {
+            ListUpdate::Whole(_) => self.full_lists_sent += 1,
+            ListUpdate::Changes { .. } => self.changes_sent += 1,
         }
-        self.lists[to].apply_update(self.now, version, news);
+        self.lists[to].apply_update(self.now, version, update);
     }
 
-    fn settle(&mut self) {
-        self.run(Step::Pass(2 * LAPSE_GRACE_MS));
+    /// Ends all grace periods, changes one entry and lets every daemon request all updates.
+    fn converge(&mut self) {
+        self.run(Step::PassTime(2 * LAPSE_GRACE_MS));
         self.change(0, Some((99, false)));
         (0..WATCHERS).for_each(|n| self.watch(n));
         for _ in 0..DAEMONS {
             for to in 0..DAEMONS {
-                (0..DAEMONS).for_each(|from| self.ask(to, from));
+                (0..DAEMONS).for_each(|from| self.request_update(to, from));
             }
         }
     }
@@ -196,39 +201,40 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// However changes, outages, lapses and questions come, all end with the platform's list.
+    /// All daemons converge to the platform's list after any sequence of changes, outages, drops
+    /// and requests.
     #[test]
-    fn all_daemons_come_to_the_platforms_list(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
-        steps.into_iter().for_each(|step| world.run(step));
-        world.settle();
+    fn all_daemons_converge_to_the_platforms_list(steps in prop::collection::vec(step(), 1..120)) {
+        let mut simulation = Simulation::new();
+        steps.into_iter().for_each(|step| simulation.run(step));
+        simulation.converge();
         let expected: BTreeMap<Name, (Millis, bool)> =
-            world.entries.iter().map(|(n, entry)| (name(*n), *entry)).collect();
+            simulation.entries.iter().map(|(n, entry)| (name(*n), *entry)).collect();
         for n in 0..DAEMONS {
-            prop_assert_eq!(world.listed(n), expected.clone(), "daemon {}", n);
+            prop_assert_eq!(simulation.listed(n), expected.clone(), "daemon {}", n);
         }
     }
 }
 
 #[test]
-fn a_daemon_that_is_up_to_date_is_told_one_change_and_not_the_list() {
-    let mut world = World::new();
-    (0..NAMES).for_each(|n| world.run(Step::Put(n, false)));
-    world.run(Step::Watch(0));
-    world.ask(3, 0);
-    assert_eq!((world.whole, world.changes), (1, 0));
-    world.run(Step::Put(2, true));
-    world.run(Step::Watch(0));
-    let known = world.lists[3].version();
-    let told = world.lists[0].update_since(world.now, known).expect("there is news").1;
-    let ListUpdate::Changes { put, gone, .. } = told else { panic!("the whole list is told") };
+fn a_daemon_that_is_up_to_date_receives_one_change_instead_of_the_full_list() {
+    let mut simulation = Simulation::new();
+    (0..NAMES).for_each(|n| simulation.run(Step::Put(n, false)));
+    simulation.run(Step::Watch(0));
+    simulation.request_update(3, 0);
+    assert_eq!((simulation.full_lists_sent, simulation.changes_sent), (1, 0));
+    simulation.run(Step::Put(2, true));
+    simulation.run(Step::Watch(0));
+    let known = simulation.lists[3].version();
+    let update = simulation.lists[0].update_since(simulation.now, known).expect("an update").1;
+    let ListUpdate::Changes { put, gone, .. } = update else { panic!("the full list is sent") };
     assert_eq!((put.len(), gone.len()), (1, 0));
-    // Whoever was told passes it on in the same way.
-    world.ask(3, 0);
-    world.run(Step::Remove(5));
-    world.run(Step::Watch(0));
-    world.ask(3, 0);
-    world.ask(4, 3);
-    assert_eq!(world.listed(4), world.listed(0));
-    assert_eq!((world.whole, world.changes), (2, 2));
+    // A daemon that received an update forwards it incrementally too.
+    simulation.request_update(3, 0);
+    simulation.run(Step::Remove(5));
+    simulation.run(Step::Watch(0));
+    simulation.request_update(3, 0);
+    simulation.request_update(4, 3);
+    assert_eq!(simulation.listed(4), simulation.listed(0));
+    assert_eq!((simulation.full_lists_sent, simulation.changes_sent), (2, 2));
 }
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who is asked: neighbours in a large fleet, owners, readers of the store.
+//! The membership view: heartbeat targets, owners, readers of the store.
 
 use std::collections::HashSet;
 
@@ -34,7 +34,7 @@
     }
 }
 
-fn speaks(members: &mut Members, n: usize, start: u64) {
+fn receive_heartbeat(members: &mut Members, n: usize, start: u64) {
     let Host { name, hall, address, .. } = host(n);
     let heartbeat = Heartbeat {
         name,
@@ -59,76 +59,76 @@
 }
 
 #[test]
-fn a_list_that_has_not_caught_up_hides_no_peer_that_speaks() {
+fn a_lagging_list_does_not_remove_a_peer_that_sends_heartbeats() {
     let mut members = fleet(0, 1);
-    speaks(&mut members, 1, 1);
+    receive_heartbeat(&mut members, 1, 1);
     members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [host(1).name]);
 }
 
 #[test]
-fn a_list_that_has_not_caught_up_with_a_new_start_hides_it_neither() {
+fn a_lagging_list_does_not_remove_a_restarted_peer() {
     let mut members = fleet(0, 2);
-    speaks(&mut members, 1, 1);
+    receive_heartbeat(&mut members, 1, 1);
     members.apply_host_list(&[host(0), host(1)]);
-    speaks(&mut members, 1, 2);
+    receive_heartbeat(&mut members, 1, 2);
     members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [host(1).name]);
 }
 
 #[test]
-fn a_peer_that_the_list_no_longer_has_is_not_asked() {
+fn a_peer_removed_from_the_list_is_not_usable() {
     let mut members = fleet(0, 2);
-    speaks(&mut members, 1, 1);
+    receive_heartbeat(&mut members, 1, 1);
     members.apply_host_list(&[host(0), host(1)]);
     members.apply_host_list(&[host(0)]);
     assert_eq!(usable(&members), [] as [Name; 0]);
 }
 
 #[test]
-fn a_small_fleet_asks_each_peer_in_turn() {
+fn in_a_small_fleet_every_peer_becomes_a_heartbeat_target() {
     let members = fleet(0, 8);
     let asked: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
     assert_eq!(asked.len(), 7);
 }
 
 #[test]
-fn a_large_fleet_keeps_to_its_neighbours() {
+fn in_a_large_fleet_the_heartbeat_targets_are_fixed() {
     let members = fleet(0, 87);
     let asked: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
     assert_eq!(asked.len(), FANOUT);
 }
 
 #[test]
-fn a_neighbour_that_is_gone_is_replaced_and_still_asked_now_and_then() {
+fn a_suspected_neighbour_is_replaced_and_still_probed() {
     let mut members = fleet(0, 87);
-    let gone = targets(&members, 0).into_iter().next().expect("there are neighbours");
-    fail(&mut members, &gone);
+    let suspected = targets(&members, 0).into_iter().next().expect("there are neighbours");
+    fail(&mut members, &suspected);
     let asked = targets(&members, 1);
     assert_eq!(asked.len(), FANOUT + 1);
-    assert!(asked.contains(&gone));
+    assert!(asked.contains(&suspected));
 }
 
 #[test]
-fn news_reach_every_daemon_of_a_large_fleet_by_neighbours() {
+fn changes_reach_every_daemon_of_a_large_fleet_through_neighbours() {
     let fleets: Vec<Members> = (0..87).map(|me| fleet(me, 87)).collect();
-    let mut knows = HashSet::from([host(0).name]);
+    let mut informed = HashSet::from([host(0).name]);
     for round in 0..10 {
         for (n, members) in fleets.iter().enumerate() {
             let neighbours = targets(members, round);
-            // A heartbeat tells in both directions.
-            if knows.contains(&host(n).name) {
-                knows.extend(neighbours);
-            } else if neighbours.iter().any(|name| knows.contains(name)) {
-                knows.insert(host(n).name);
+            // A heartbeat exchanges state in both directions.
+            if informed.contains(&host(n).name) {
+                informed.extend(neighbours);
+            } else if neighbours.iter().any(|name| informed.contains(name)) {
+                informed.insert(host(n).name);
             }
         }
     }
-    assert_eq!(knows.len(), 87);
+    assert_eq!(informed.len(), 87);
 }
 
 #[test]
-fn all_daemons_agree_on_an_owner_before_they_have_heard_of_each_other() {
+fn all_daemons_agree_on_an_owner_before_their_first_heartbeats() {
     let owner = |me| {
         let ranked = fleet(me, 30).owners(7, 1);
         ranked[0].as_ref().map_or(host(me).name, |peer| peer.name.clone())
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn suspicions_of_one_that_was_cut_off_are_forgiven() {
+fn the_failures_of_all_peers_are_cleared_after_this_daemon_was_cut_off() {
     let mut members = fleet(0, 20);
     for n in 1..20 {
         fail(&mut members, &host(n).name);
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of backend servers: changes, lapses, peers' lists.
+//! The replica of the platform's server list: updates, grace periods, lists of peers.
 
 use bankcove_core::Name;
 use bankcove_core::server_list::{
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_a_whole_list_lacks_is_gone() {
+fn a_full_list_removes_missing_entries() {
     let mut list = ServerList::default();
     assert!(list.apply(0, whole(5, &["a", "b"])));
     assert!(list.apply(1, whole(6, &["b"])));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_entry_that_says_the_same_is_no_change() {
+fn an_identical_entry_is_no_change() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
     assert!(!list.apply(1, whole(9, &["a"])));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_stays_until_the_grace_is_over() {
+fn an_entry_missing_after_an_outage_is_kept_for_the_grace_period() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     list.start_lapse_grace(10_000);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn peers_hear_of_an_entry_that_lapsed_for_good() {
+fn a_drop_after_the_grace_period_raises_the_version() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     list.start_lapse_grace(10_000);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_entry_that_is_back_within_the_grace_stays() {
+fn an_entry_registered_again_within_the_grace_period_is_kept() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
     list.start_lapse_grace(10_000);
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_server_and_the_others_hold() {
+fn an_unreadable_entry_removes_its_server_only() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     let broken = Unreadable { name: Some(Name::from("a")), problem: "no address".to_owned() };
     list.apply(1, ServerChanges { unreadable: vec![broken], ..whole(6, &["b"]) });
     assert_eq!(names(&list), ["b"]);
-    // No grace either: the platform has an entry, and it names nobody.
+    // No grace period applies: the platform has the entry, but it describes no usable server.
     list.start_lapse_grace(1);
     let broken = Unreadable { name: Some(Name::from("b")), problem: "no address".to_owned() };
     assert!(list.apply(2, ServerChanges { unreadable: vec![broken], at: 7, ..Default::default() }));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn outside_of_an_outage_a_removal_counts_at_once() {
+fn without_an_outage_a_removal_takes_effect_at_once() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
     assert!(list.apply(1, gone(6, "a")));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_peers_list_counts_only_when_it_is_newer() {
+fn a_peers_list_is_adopted_only_if_it_is_newer() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
     assert!(!list.adopt(1, version(5, 0), vec![shared("b", false, None)]));
@@ -127,18 +127,18 @@
 }
 
 #[test]
-fn a_peers_lapsing_entry_does_not_come_back_where_it_is_gone() {
+fn a_removed_entry_is_not_restored_by_a_peer_that_keeps_it_for_its_grace_period() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     list.apply(1, gone(6, "a"));
-    // The peer was cut off from the platform and still has the entry.
+    // The peer was cut off from the platform and still has the entry in its grace period.
     let of_peer = vec![shared("a", false, Some(1_500)), shared("b", false, None)];
     assert!(list.adopt(2, version(7, 0), of_peer));
     assert_eq!(names(&list), ["b"]);
 }
 
 #[test]
-fn an_entry_that_lapses_at_a_peer_lapses_here_too() {
+fn the_grace_period_of_an_adopted_entry_is_adopted_too() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     let of_peer = vec![shared("a", false, Some(1_500)), shared("b", false, None)];
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn peers_at_the_same_version_of_the_platform_hear_of_a_drop() {
+fn a_drop_reaches_peers_at_the_same_version_of_the_platform() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
     list.start_lapse_grace(10_000);
