--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -45,7 +45,7 @@
     }
 
     /// Merges facts from a peer; returns the new ones. An unlisted start that is old enough to
-    /// be removed by [`LeavingServers::forget_old`] is not added again.
+    /// be removed by [`LeavingServers::remove_expired`] is not added again.
     pub fn merge(
         &mut self,
         now: Millis,
@@ -80,7 +80,7 @@
     }
 
     /// Removes unlisted starts after [`UNLISTED_RETENTION_MS`].
-    pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, at| {
             let is_kept = now.saturating_sub(*at) < UNLISTED_RETENTION_MS || is_listed(server);
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -50,7 +50,7 @@
 
     /// Removes rest periods that have ended, and those of unlisted servers that were requested
     /// at least [`UNLISTED_RETENTION_MS`] ago.
-    pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         self.known.retain(|server, rest| {
             let is_recent = now.saturating_sub(rest.asked_at) < UNLISTED_RETENTION_MS;
             now < rest.until && (is_recent || is_listed(server))
--- a/crates/core/src/router/closed.rs
+++ b/crates/core/src/router/closed.rs
@@ -66,8 +66,8 @@
     /// Forgets starts that nobody lists any more, and rests that are over.
     pub fn forget_closed(&mut self, now: Millis) {
         let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
-        self.leaving.forget_old(now, |server| listed.contains(server));
-        self.rests.forget_old(now, |server| listed.contains(server));
+        self.leaving.remove_expired(now, |server| listed.contains(server));
+        self.rests.remove_expired(now, |server| listed.contains(server));
     }
 
     /// Takes in a load report's word of when the server was started. What was said by then
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -3,7 +3,7 @@
 //! Updates are full lists or changes, received from the platform or from a peer.
 //! During an outage of the platform, entries of live servers may expire there and
 //! are registered again soon after its return. An entry that is missing right after
-//! an outage is therefore kept for [`LAPSE_GRACE_MS`].
+//! an outage is therefore kept for [`GRACE_PERIOD_MS`].
 
 mod update;
 
@@ -17,7 +17,7 @@
 
 /// Time after the platform's return for which a missing entry is kept, in
 /// milliseconds: live servers rewrite their entry within two seconds.
-pub const LAPSE_GRACE_MS: Millis = 2_000;
+pub const GRACE_PERIOD_MS: Millis = 2_000;
 
 /// Largest difference between the expected and the reported end of a server's cold start that
 /// is not a change, in milliseconds: a report is up to one heartbeat of 1.2 s old when it is read.
@@ -130,8 +130,8 @@
         let Some(known) = known else { return self };
         let is_read_since = known.changed_at > self.changed_at;
         if known.server.started_ms > self.server.started_ms {
-            let lapses = self.dropped_at.filter(|_| !is_read_since);
-            return Entry { dropped_at: known.dropped_at.or(lapses), ..known.clone() };
+            let inherited = self.dropped_at.filter(|_| !is_read_since);
+            return Entry { dropped_at: known.dropped_at.or(inherited), ..known.clone() };
         }
         let is_same_start = known.server.started_ms == self.server.started_ms;
         if is_same_start && is_read_since { known.clone() } else { self }
@@ -188,8 +188,8 @@
 
     /// Starts the grace period for missing entries when the platform answers again after an
     /// outage.
-    pub fn start_lapse_grace(&mut self, now: Millis) {
-        self.grace_until = now + LAPSE_GRACE_MS;
+    pub fn start_grace_period(&mut self, now: Millis) {
+        self.grace_until = now + GRACE_PERIOD_MS;
     }
 
     /// Applies an update from the platform; returns whether any server has changed in a way that
@@ -286,7 +286,7 @@
     }
 
     /// Drops entries whose grace period has ended; returns whether there were any.
-    pub fn drop_lapsed(&mut self, now: Millis) -> bool {
+    pub fn drop_expired(&mut self, now: Millis) -> bool {
         let before = self.entries.len();
         self.entries.retain(|_, entry| entry.dropped_at.is_none_or(|at| now < at));
         let dropped = before - self.entries.len();
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -23,7 +23,7 @@
     let mut leaving = LeavingServers::default();
     assert!(leaving.add(1_000, &start("a", 7), 0));
     assert!(!leaving.add(2_000, &start("a", 7), 0), "the start is already known");
-    leaving.forget_old(LONG_MS, |_| true);
+    leaving.remove_expired(LONG_MS, |_| true);
     assert!(leaving.contains(&start("a", 7)), "a listed start never expires");
     assert!(!leaving.contains(&start("a", 8)));
 }
@@ -32,9 +32,9 @@
 fn an_unlisted_start_is_removed_only_after_the_retention_time() {
     let mut leaving = LeavingServers::default();
     leaving.add(0, &start("a", 7), 0);
-    leaving.forget_old(60_000, |_| false);
+    leaving.remove_expired(60_000, |_| false);
     assert!(leaving.contains(&start("a", 7)), "a lagging list may contain it again");
-    leaving.forget_old(LONG_MS, |_| false);
+    leaving.remove_expired(LONG_MS, |_| false);
     assert!(leaving.is_empty());
     assert_eq!(leaving.digest(), 0);
 }
@@ -65,7 +65,7 @@
     assert_eq!(rests.observe(2_000, &server, 1_000), None);
     assert_eq!(rests.observe(3_000, &server, 4_000), Some(7_000));
     assert_eq!((rests.end(&server), rests.end(&start("a", 8))), (7_000, 0));
-    rests.forget_old(7_000, |_| true);
+    rests.remove_expired(7_000, |_| true);
     assert!(rests.is_empty());
 }
 
@@ -73,9 +73,9 @@
 fn an_endless_rest_lasts_until_the_start_is_unlisted() {
     let (mut rests, server) = (RestPeriods::default(), start("a", 7));
     rests.observe(1_000, &server, Millis::MAX);
-    rests.forget_old(LONG_MS, |_| true);
+    rests.remove_expired(LONG_MS, |_| true);
     assert_eq!(rests.end(&server), Millis::MAX);
-    rests.forget_old(LONG_MS, |_| false);
+    rests.remove_expired(LONG_MS, |_| false);
     assert!(rests.is_empty());
 }
 
--- a/crates/core/tests/list_changes.rs
+++ b/crates/core/tests/list_changes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bankcove_core::server_list::{
-    LAPSE_GRACE_MS, ListUpdate, ListedServer, RemovedServer, ServerChanges, ServerList,
+    GRACE_PERIOD_MS, ListUpdate, ListedServer, RemovedServer, ServerChanges, ServerList,
 };
 use bankcove_core::{Millis, Name};
 use proptest::prelude::*;
@@ -109,14 +109,14 @@
             Step::Remove(n) => self.change(n, None),
             Step::Watch(n) => self.watch(n),
             Step::Return(n) => {
-                self.lists[n].start_lapse_grace(self.now);
+                self.lists[n].start_grace_period(self.now);
                 self.read(n, true);
             }
             Step::RequestUpdate(to, from) => self.request_update(to, from),
             Step::PassTime(ms) => {
                 self.now += ms;
                 let now = self.now;
-                self.lists.iter_mut().for_each(|list| _ = list.drop_lapsed(now));
+                self.lists.iter_mut().for_each(|list| _ = list.drop_expired(now));
             }
         }
     }
@@ -182,7 +182,7 @@
 
     /// Ends all grace periods, changes one entry and lets every daemon request all updates.
     fn converge(&mut self) {
-        self.run(Step::PassTime(2 * LAPSE_GRACE_MS));
+        self.run(Step::PassTime(2 * GRACE_PERIOD_MS));
         self.change(0, Some((99, false)));
         (0..WATCHERS).for_each(|n| self.watch(n));
         for _ in 0..DAEMONS {
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -2,7 +2,7 @@
 
 use bankcove_core::Name;
 use bankcove_core::server_list::{
-    LAPSE_GRACE_MS, ListVersion, ListedServer, RemovedServer, ServerChanges, ServerList,
+    GRACE_PERIOD_MS, ListVersion, ListedServer, RemovedServer, ServerChanges, ServerList,
     SharedServer, Unreadable,
 };
 
@@ -64,11 +64,11 @@
 fn an_entry_missing_after_an_outage_is_kept_for_the_grace_period() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.start_lapse_grace(10_000);
+    list.start_grace_period(10_000);
     list.apply(10_000, whole(9, &["b"]));
     assert_eq!(names(&list), ["a", "b"]);
-    assert!(!list.drop_lapsed(10_000 + LAPSE_GRACE_MS - 1));
-    assert!(list.drop_lapsed(10_000 + LAPSE_GRACE_MS));
+    assert!(!list.drop_expired(10_000 + GRACE_PERIOD_MS - 1));
+    assert!(list.drop_expired(10_000 + GRACE_PERIOD_MS));
     assert_eq!(names(&list), ["b"]);
 }
 
@@ -76,11 +76,11 @@
 fn a_drop_after_the_grace_period_raises_the_version() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.start_lapse_grace(10_000);
+    list.start_grace_period(10_000);
     list.apply(10_000, whole(9, &["b"]));
     assert_eq!(list.version(), version(5, 0));
-    assert_eq!(list.next_drop(10_500), Some(LAPSE_GRACE_MS - 500));
-    list.drop_lapsed(10_000 + LAPSE_GRACE_MS);
+    assert_eq!(list.next_drop(10_500), Some(GRACE_PERIOD_MS - 500));
+    list.drop_expired(10_000 + GRACE_PERIOD_MS);
     assert!(list.version() > version(5, 0));
 }
 
@@ -88,10 +88,10 @@
 fn an_entry_registered_again_within_the_grace_period_is_kept() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a"]));
-    list.start_lapse_grace(10_000);
+    list.start_grace_period(10_000);
     list.apply(10_000, gone(9, "a"));
     list.apply(10_500, ServerChanges { at: 10, put: vec![server("a", false)], ..gone(10, "x") });
-    assert!(!list.drop_lapsed(10_000 + LAPSE_GRACE_MS));
+    assert!(!list.drop_expired(10_000 + GRACE_PERIOD_MS));
     assert_eq!(names(&list), ["a"]);
 }
 
@@ -103,7 +103,7 @@
     list.apply(1, ServerChanges { unreadable: vec![broken], ..whole(6, &["b"]) });
     assert_eq!(names(&list), ["b"]);
     // No grace period applies: the platform has the entry, but it describes no usable server.
-    list.start_lapse_grace(1);
+    list.start_grace_period(1);
     let broken = Unreadable { name: Some(Name::from("b")), problem: "no address".to_owned() };
     assert!(list.apply(2, ServerChanges { unreadable: vec![broken], at: 7, ..Default::default() }));
     assert!(names(&list).is_empty());
@@ -144,7 +144,7 @@
     let of_peer = vec![shared("a", false, Some(1_500)), shared("b", false, None)];
     assert!(list.adopt(100, version(7, 0), of_peer));
     assert_eq!(names(&list), ["a", "b"]);
-    assert!(list.drop_lapsed(1_600));
+    assert!(list.drop_expired(1_600));
     assert_eq!(names(&list), ["b"]);
 }
 
@@ -152,12 +152,12 @@
 fn a_drop_reaches_peers_at_the_same_version_of_the_platform() {
     let mut list = ServerList::default();
     list.apply(0, whole(5, &["a", "b"]));
-    list.start_lapse_grace(10_000);
+    list.start_grace_period(10_000);
     list.apply(10_000, ServerChanges { put: vec![server("c", false)], ..gone(9, "a") });
     let mut peer = ServerList::default();
     peer.apply(0, whole(5, &["a", "b"]));
     assert!(peer.adopt(10_100, list.version(), list.shared(10_100)));
-    assert!(list.drop_lapsed(10_000 + LAPSE_GRACE_MS));
+    assert!(list.drop_expired(10_000 + GRACE_PERIOD_MS));
     assert!(list.version() > peer.version());
     assert!(peer.adopt(13_000, list.version(), list.shared(13_000)));
     assert_eq!(names(&peer), ["b", "c"]);
--- a/crates/daemon/src/view/server_sync.rs
+++ b/crates/daemon/src/view/server_sync.rs
@@ -32,7 +32,7 @@
             was_away = false;
             // Peers reach the store: a look that fails from here on is the first.
             failures = 0;
-            drop_lapsed(&view);
+            drop_expired(&view);
             view.fleet.contact.store_not_watched();
             tokio::select! {
                 () = tokio::time::sleep(pause) => continue,
@@ -87,10 +87,10 @@
     view.unreadable.tell(&view.fleet.base.log, "servers", &changes.unreadable);
     let mut list = view.servers.lock();
     if is_back {
-        list.start_lapse_grace(now);
+        list.start_grace_period(now);
         slog::info!(view.fleet.base.log, "store regained"; "at" => changes.at);
     }
-    let changed = list.apply(now, changes) | list.drop_lapsed(now);
+    let changed = list.apply(now, changes) | list.drop_expired(now);
     drop(list);
     if changed {
         routing_table::refresh(view);
@@ -100,8 +100,8 @@
 }
 
 /// Drops entries whose grace is over, while peers tell of changes.
-fn drop_lapsed(view: &Arc<View>) {
-    let dropped = view.servers.lock().drop_lapsed(view.fleet.base.clock.now());
+fn drop_expired(view: &Arc<View>) {
+    let dropped = view.servers.lock().drop_expired(view.fleet.base.clock.now());
     if dropped {
         routing_table::refresh(view);
         view.fleet.to_tell.notify_one();
