--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -79,7 +79,7 @@
         self.digest
     }
 
-    /// Removes unlisted starts after [`UNLISTED_RETENTION_MS`].
+    /// Removes starts that are unlisted and were announced at least 600 s ago.
     pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, at| {
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -49,7 +49,7 @@
     }
 
     /// Removes rest periods that have ended, and those of unlisted servers that were requested
-    /// at least [`UNLISTED_RETENTION_MS`] ago.
+    /// at least 600 s ago.
     pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
         self.known.retain(|server, rest| {
             let is_recent = now.saturating_sub(rest.asked_at) < UNLISTED_RETENTION_MS;
