--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -11,7 +11,7 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::{HintFact, LeavingStarts};
-use bankcove_core::holder::{Draw, Holder, Keeps, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope};
 use bankcove_core::limits::{ISSUERS, Issuer, LimitBook, LimitWord, Place, RequestRate, Wish};
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
 use bankcove_core::owner::{Event as OwnerEvent, Owner, Request};
@@ -146,15 +146,15 @@
     members
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> DrawTerms {
+    DrawTerms {
         tokens: 1_000_000,
         version: 1,
         horizon_s: 10.0,
         share_divisor: 4,
         held_ahead: 0.5,
         kept_for_others: 0.0,
-        keeps: Keeps::ForItself,
+        prefetch: PrefetchScope::ForItself,
         daemons: 1_300,
     }
 }
@@ -163,8 +163,8 @@
     let mut holder = Holder::new(Incarnation(1));
     for n in 0..budgets {
         let name = Name::from(format!("budget-{n}"));
-        holder.granted(&name, 1_000);
-        holder.witnesses_recorded(&name, &[witness(1), witness(2)]);
+        holder.record_granted(&name, 1_000);
+        holder.set_recorded_witnesses(&name, &[witness(1), witness(2)]);
     }
     holder
 }
--- a/crates/bench/src/budget_world.rs
+++ b/crates/bench/src/budget_world.rs
@@ -148,8 +148,8 @@
             let part = self.load.tokens / self.load.daemons as u64;
             for holder in &mut self.holders {
                 for budget in &self.budgets {
-                    holder.granted(budget, part);
-                    holder.opened(budget, part);
+                    holder.record_granted(budget, part);
+                    holder.record_opened(budget, part);
                 }
             }
         }
--- a/crates/bench/src/budget_world/caller.rs
+++ b/crates/bench/src/budget_world/caller.rs
@@ -1,6 +1,6 @@
 //! What daemons do for callers: admissions, refusals, draws.
 
-use bankcove_core::holder::{Keeps, Reservation, Terms};
+use bankcove_core::holder::{DrawTerms, PrefetchScope, Reservation};
 use bankcove_core::owner::{Event, Reply, Request};
 use bankcove_core::shard::{BUDGET_SHARDS, shard_of_budget};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
@@ -102,27 +102,27 @@
         }
     }
 
-    pub(super) fn terms(&self) -> Terms {
-        Terms {
+    pub(super) fn terms(&self) -> DrawTerms {
+        DrawTerms {
             tokens: self.load.tokens,
             version: 1,
             horizon_s: 10.0,
             share_divisor: self.load.share_divisor,
             held_ahead: self.load.held_ahead,
             kept_for_others: 0.0,
-            keeps: Keeps::ForItself,
+            prefetch: PrefetchScope::ForItself,
             daemons: self.load.daemons as u64,
         }
     }
 
     pub(super) fn draw_ahead(&mut self, arrival: Arrival, name: &Name) {
-        if self.holders[arrival.daemon].is_nearly_closed(name, self.now) {
+        if self.holders[arrival.daemon].needs_opening(name, self.now) {
             self.open(arrival.daemon, name, 0);
         }
         let place = (arrival.daemon, arrival.budget);
         let early = self.ahead_at.get(&place).is_some_and(|at| self.now < at + DRAW_AHEAD_MS);
         let grants = matches!(self.policy, Policy::Design | Policy::GrantsOnly);
-        let low = self.holders[arrival.daemon].runs_low(name, &self.terms(), self.now);
+        let low = self.holders[arrival.daemon].is_low(name, &self.terms(), self.now);
         if grants && low && !early {
             self.ahead_at.insert(place, self.now);
             self.ask(None, arrival.daemon, name, 0);
@@ -168,14 +168,14 @@
             return;
         }
         if let Some((owner, cumulative)) = sent {
-            self.holders[asked.daemon].received(&asked.budget, owner, cumulative);
+            self.holders[asked.daemon].record_received(&asked.budget, owner, cumulative);
         }
         if let Reply::Granted { granted, opened, recorded, .. } = reply {
             let holder = &mut self.holders[asked.daemon];
-            holder.granted(&asked.budget, granted);
-            holder.opened(&asked.budget, opened);
+            holder.record_granted(&asked.budget, granted);
+            holder.record_opened(&asked.budget, opened);
             if recorded {
-                holder.witnesses_recorded(&asked.budget, &asked.witnesses);
+                holder.set_recorded_witnesses(&asked.budget, &asked.witnesses);
             }
         }
         match (asked.waiting, reply) {
--- a/crates/bench/src/budget_world/owner.rs
+++ b/crates/bench/src/budget_world/owner.rs
@@ -61,8 +61,8 @@
             Command::Reply(ticket, reply) => self.reply(ticket, reply, None),
             Command::Give { own, ticket, draw, most, reply } => {
                 if let Some((granted, opened)) = own {
-                    self.holders[daemon].granted(&draw.budget, granted);
-                    self.holders[daemon].opened(&draw.budget, opened);
+                    self.holders[daemon].record_granted(&draw.budget, granted);
+                    self.holders[daemon].record_opened(&draw.budget, opened);
                 }
                 self.give(daemon, ticket, &draw, most, reply);
             }
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn open(&mut self, daemon: usize, budget: &Name, tokens: Tokens) -> bool {
-        let Some(opening) = self.holders[daemon].opening(budget, tokens, self.now) else {
+        let Some(opening) = self.holders[daemon].next_opening(budget, tokens, self.now) else {
             return false;
         };
         let me = Incarnation(daemon as u64);
@@ -92,7 +92,7 @@
             let n = witness.incarnation.0 as usize;
             self.linked(daemon, n) && self.marks[n].open(me, budget, opening.opened)
         });
-        agreed && self.holders[daemon].opening_agreed(budget, &opening)
+        agreed && self.holders[daemon].confirm_opening(budget, &opening)
     }
 
     pub(super) fn reclaim(&mut self, daemon: usize, shard: u32, budget: &Name, gone: &HolderRef) {
@@ -154,8 +154,8 @@
             self.open(holder, &budget, Tokens::MAX);
             let sender = Incarnation(holder as u64);
             let received = self.holders[daemon].received_from(&budget, sender);
-            let sent = self.holders[holder].give(&budget, me, received, Tokens::MAX);
-            self.holders[daemon].received(&budget, sender, sent);
+            let sent = self.holders[holder].transfer(&budget, me, received, Tokens::MAX);
+            self.holders[daemon].record_received(&budget, sender, sent);
         }
         let free = self.holders[daemon].free(&budget);
         (Event::Gathered { budget, free, more_may_come: true }, took)
@@ -173,10 +173,10 @@
             return self.reply(ticket, reply, None);
         }
         let from = &mut self.holders[owner];
-        if !from.can_give(&draw.budget, draw.holder, draw.received, draw.need) {
+        if !from.can_transfer(&draw.budget, draw.holder, draw.received, draw.need) {
             return self.reply(ticket, Reply::Short { retry_after_ms: 1_000 }, None);
         }
-        let sent = from.give(&draw.budget, draw.holder, draw.received, most);
+        let sent = from.transfer(&draw.budget, draw.holder, draw.received, most);
         self.reply(ticket, reply, Some((Incarnation(owner as u64), sent)));
     }
 
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -169,7 +169,7 @@
             statement.left(),
             statement.held
         );
-        let elsewhere = statement.elsewhere();
+        let elsewhere = statement.unaccounted();
         if elsewhere != 0 {
             println!("{elsewhere} are set aside, on their way, or with daemons that have ended");
         }
--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -8,18 +8,18 @@
 mod allot;
 mod draw;
 mod holdings;
-mod keeps;
+mod prefetch;
 mod rate;
 mod ration;
 mod statement;
 
 pub use account::Account;
-pub use allot::{Allotted, Ask, LEFT_PER_HELD, held_part};
-pub use draw::{Draw, Terms};
-pub use holdings::{Held, Holdings, Running};
-pub use keeps::Keeps;
-pub use ration::{Outlook, Wish};
-pub use statement::{Holding, Statement};
+pub use allot::{Allotted, LEFT_TO_HELD_RATIO, TokenRequest, held_fraction};
+pub use draw::{Draw, DrawTerms};
+pub use holdings::{BudgetHolding, Holdings, RunningAttempts};
+pub use prefetch::PrefetchScope;
+pub use ration::{Outlook, RequestDemand};
+pub use statement::{DaemonHolding, Statement};
 
 use std::collections::HashMap;
 
@@ -31,11 +31,11 @@
 
 /// Less than this part of what a holder needs ahead calls for a draw. With 0.8 and a
 /// shorter horizon as much was refused in cuts and after losses of power.
-const LOW: f64 = 0.5;
+const LOW_FRACTION: f64 = 0.5;
 
 /// Once this daemon has spent for so long, its rates tell what to hold, in
 /// milliseconds; it is the time constant of the rates.
-const LEARNING_MS: Millis = 10_000;
+const RATE_WARMUP_MS: Millis = 10_000;
 
 /// What `reserve` answers when the tokens at hand do not suffice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -129,7 +129,7 @@
     }
 
     /// Tokens of all budgets set aside for running attempts.
-    pub fn reserved_in_all(&self) -> Tokens {
+    pub fn total_reserved(&self) -> Tokens {
         self.accounts.values().map(|account| account.reserved).sum()
     }
 
@@ -179,41 +179,50 @@
     }
 
     /// What a request costs at its most, of late; 0 while none has come.
-    fn usual_request(&self, now: Millis) -> Tokens {
+    fn mean_request(&self, now: Millis) -> Tokens {
         let requests = self.requests.per_second(now);
         if requests > 0.0 { (self.asked_for.per_second(now) / requests) as Tokens } else { 0 }
     }
 
     /// The terms without what is held ahead whatever is spent, once spending is
     /// known: it would only be lost with the host.
-    fn in_force(&self, terms: &Terms, now: Millis) -> Terms {
-        let is_known = self.spending_since.is_some_and(|since| now >= since + LEARNING_MS);
-        if is_known { Terms { held_ahead: 0.0, kept_for_others: 0.0, ..*terms } } else { *terms }
+    fn effective(&self, terms: &DrawTerms, now: Millis) -> DrawTerms {
+        let is_known = self.spending_since.is_some_and(|since| now >= since + RATE_WARMUP_MS);
+        if is_known {
+            DrawTerms { held_ahead: 0.0, kept_for_others: 0.0, ..*terms }
+        } else {
+            *terms
+        }
     }
 
     /// Whether so little is free that it is time to draw ahead; also before the
     /// first request, which may come when the store is away.
-    pub fn runs_low(&self, budget: &Name, terms: &Terms, now: Millis) -> bool {
+    pub fn is_low(&self, budget: &Name, terms: &DrawTerms, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else {
-            return self.in_force(terms, now).floor(terms.tokens, Tokens::MAX) > 0;
+            return self.effective(terms, now).min_held(terms.tokens, Tokens::MAX) > 0;
         };
         let at_hand = account.free() + account.sealed();
-        let mut wanted = account.ahead(terms, self.usual_request(now), now);
-        let terms = self.in_force(terms, now);
+        let mut wanted = account.prefetch_target(terms, self.mean_request(now), now);
+        let terms = self.effective(terms, now);
         if terms.kept_for_others > 0.0 {
-            wanted = wanted.max(account.floor(&terms));
+            wanted = wanted.max(account.min_held(&terms));
         }
-        (at_hand as f64) < wanted as f64 * LOW || account.unmet > 0
+        (at_hand as f64) < wanted as f64 * LOW_FRACTION || account.unmet > 0
     }
 
-    /// Gives back what is free beyond `SURPLUS` times the horizon and the floor
+    /// Gives back what is free beyond `SURPLUS_FACTOR` times the horizon and the floor
     /// that `terms` name; returns how much. The next draw tells the store.
-    pub fn return_surplus(&mut self, budget: &Name, terms: &Terms, now: Millis) -> Tokens {
-        let terms = self.in_force(terms, now);
-        let usual = self.usual_request(now);
+    pub fn return_surplus_to_store(
+        &mut self,
+        budget: &Name,
+        terms: &DrawTerms,
+        now: Millis,
+    ) -> Tokens {
+        let terms = self.effective(terms, now);
+        let usual = self.mean_request(now);
         let Some(account) = self.accounts.get_mut(budget) else { return 0 };
         account.kept_for_needs =
-            if terms.kept_for_others > 0.0 { account.floor(&terms) } else { 0 };
+            if terms.kept_for_others > 0.0 { account.min_held(&terms) } else { 0 };
         // Only tokens of the own grant go back, and no more than it holds.
         let of_grant = account.opened.saturating_sub(account.returned);
         let surplus = account.surplus(&terms, usual, now).min(of_grant);
@@ -222,7 +231,7 @@
     }
 
     /// Whether so little is open that it is time to open more.
-    pub fn is_nearly_closed(&self, budget: &Name, now: Millis) -> bool {
+    pub fn needs_opening(&self, budget: &Name, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else { return false };
         account.sealed() > 0 && account.free() < account.open_ahead(now) / 2
     }
@@ -232,14 +241,14 @@
         &mut self,
         budget: &Name,
         need: Tokens,
-        terms: Terms,
+        terms: DrawTerms,
         address: &str,
         now: Millis,
     ) -> Draw {
-        let terms = self.in_force(&terms, now);
-        let usual = self.usual_request(now);
+        let terms = self.effective(&terms, now);
+        let usual = self.mean_request(now);
         let account = self.accounts.entry(budget.clone()).or_default();
-        let ahead = account.ahead(&terms, usual, now);
+        let ahead = account.prefetch_target(&terms, usual, now);
         // A need is what is missing when all that is free is taken, so the whole
         // horizon comes on top of it.
         let at_hand = if need == 0 { account.free() + account.sealed() } else { 0 };
@@ -256,7 +265,7 @@
             free: account.free(),
             opened: account.opened,
             witnesses: Vec::new(),
-            ends: account.earlier_start,
+            replaced_start: account.earlier_start,
             number: account.draws,
             returned: account.returned,
             need,
@@ -279,14 +288,14 @@
     }
 
     /// Takes in that the store has recorded these witnesses.
-    pub fn witnesses_recorded(&mut self, budget: &Name, witnesses: &[Witness]) {
+    pub fn set_recorded_witnesses(&mut self, budget: &Name, witnesses: &[Witness]) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.witnesses = witnesses.to_vec();
     }
 
     /// What would open `need` more of the grant and some ahead; none when
     /// nothing is sealed or there is nobody to attest it.
-    pub fn opening(&self, budget: &Name, need: Tokens, now: Millis) -> Option<Opening> {
+    pub fn next_opening(&self, budget: &Name, need: Tokens, now: Millis) -> Option<Opening> {
         let account = self.accounts.get(budget)?;
         let more = need.saturating_add(account.open_ahead(now)).min(account.sealed());
         if more == 0 || account.witnesses.is_empty() {
@@ -298,7 +307,7 @@
 
     /// Takes in that every witness of `opening` has agreed. It counts only if
     /// nobody else may be a witness by now.
-    pub fn opening_agreed(&mut self, budget: &Name, opening: &Opening) -> bool {
+    pub fn confirm_opening(&mut self, budget: &Name, opening: &Opening) -> bool {
         let account = self.accounts.entry(budget.clone()).or_default();
         let agreed = account.witnesses.iter().all(|known| opening.witnesses.contains(known));
         if agreed {
@@ -309,24 +318,24 @@
 
     /// Takes in which other start at this daemon's address the ledger names. It was told
     /// to this one, so it ran before it.
-    pub fn told_earlier_start(&mut self, budget: &Name, start: Option<Incarnation>) {
+    pub fn set_earlier_start(&mut self, budget: &Name, start: Option<Incarnation>) {
         self.accounts.entry(budget.clone()).or_default().earlier_start = start;
     }
 
     /// Takes in what may be spent of the grant, as a cumulative sum.
-    pub fn opened(&mut self, budget: &Name, cumulative: Tokens) {
+    pub fn record_opened(&mut self, budget: &Name, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.opened = account.opened.max(cumulative).min(account.granted);
     }
 
     /// Takes in the store's cumulative grant.
-    pub fn granted(&mut self, budget: &Name, cumulative: Tokens) {
+    pub fn record_granted(&mut self, budget: &Name, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.granted = account.granted.max(cumulative);
     }
 
     /// Takes in what `sender` has sent, as a cumulative sum.
-    pub fn received(&mut self, budget: &Name, sender: Incarnation, cumulative: Tokens) {
+    pub fn record_received(&mut self, budget: &Name, sender: Incarnation, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         let known = account.received.entry(sender).or_default();
         *known = (*known).max(cumulative);
@@ -335,7 +344,7 @@
     /// Sends up to `most` free tokens to `receiver` and returns the cumulative
     /// sum sent to it. What it has not yet taken in (`already_received` tells)
     /// counts towards `most`, so that a lost answer is healed by asking again.
-    pub fn give(
+    pub fn transfer(
         &mut self,
         budget: &Name,
         receiver: Incarnation,
@@ -352,7 +361,7 @@
 
     /// Whether `need` tokens can be sent to `receiver`, counting those that
     /// are under way to it.
-    pub fn can_give(
+    pub fn can_transfer(
         &self,
         budget: &Name,
         receiver: Incarnation,
--- a/crates/core/src/holder/account.rs
+++ b/crates/core/src/holder/account.rs
@@ -4,9 +4,9 @@
 
 use serde::Serialize;
 
-use crate::holder::draw::Terms;
-use crate::holder::holdings::Running;
-use crate::holder::keeps::Keeps;
+use crate::holder::draw::DrawTerms;
+use crate::holder::holdings::RunningAttempts;
+use crate::holder::prefetch::PrefetchScope;
 use crate::holder::rate::Rate;
 use crate::holder::ration::Outlook;
 use crate::witness::Witness;
@@ -17,7 +17,7 @@
 const OPEN_AHEAD_S: f64 = 2.0;
 
 /// More than this many times what a holder needs ahead is given back.
-pub(super) const SURPLUS: f64 = 1.5;
+pub(super) const SURPLUS_FACTOR: f64 = 1.5;
 
 /// What this daemon holds of one budget.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -34,9 +34,11 @@
     pub returned: Tokens,
     /// The budget as a whole, as the store's ledger or the shard's owner said last.
     pub outlook: Option<Outlook>,
-    pub(super) known_at: Millis,
+    #[serde(rename = "known_at")]
+    pub(super) outlook_at: Millis,
     /// What the whole fleet takes of what is left, as the outlooks show.
-    pub(super) taken: Rate,
+    #[serde(rename = "taken")]
+    pub(super) fleet_rate: Rate,
     /// An earlier start at this daemon's address that the ledger still names.
     pub(super) earlier_start: Option<Incarnation>,
     /// Tokens that the budget's row allowed at the last draw.
@@ -50,12 +52,13 @@
     /// Tokens set aside for running attempts.
     pub reserved: Tokens,
     /// Those attempts.
-    pub running: Running,
+    pub running: RunningAttempts,
     /// Whether the store was told that this holder ends: what still arrives is not
     /// the holder's any more, since the store may have granted it to others by then.
     pub(super) retired: bool,
     pub(super) rate: Rate,
-    pub(super) handed_on: Rate,
+    #[serde(rename = "handed_on")]
+    pub(super) allotted_rate: Rate,
     /// What an owner keeps for others until spending is known: handed on for needs only.
     /// Handed on ahead too, it was with a few daemons when the others asked.
     pub(super) kept_for_needs: Tokens,
@@ -70,7 +73,7 @@
     }
 
     /// What this holder may keep ahead; none while nothing is known.
-    pub(super) fn share(&self) -> Option<Tokens> {
+    pub(super) fn max_prefetch(&self) -> Option<Tokens> {
         self.outlook.map(|outlook| outlook.share)
     }
 
@@ -81,17 +84,17 @@
 
     /// Spending once `need` tokens are spent now, in tokens a second: for the whole fleet
     /// where this holder keeps for it.
-    pub(super) fn spending(&self, need: Tokens, terms: &Terms, now: Millis) -> Tokens {
-        let own = self.rate.with(need, now);
-        let is_for_fleet = terms.keeps == Keeps::ForFleet;
-        let others = if is_for_fleet { self.handed_on.per_second(now) } else { 0.0 };
+    pub(super) fn spending(&self, need: Tokens, terms: &DrawTerms, now: Millis) -> Tokens {
+        let own = self.rate.per_second_with(need, now);
+        let is_for_fleet = terms.prefetch == PrefetchScope::ForFleet;
+        let others = if is_for_fleet { self.allotted_rate.per_second(now) } else { 0.0 };
         (own + others) as Tokens
     }
 
     /// What to keep whatever is spent.
-    pub(super) fn floor(&self, terms: &Terms) -> Tokens {
+    pub(super) fn min_held(&self, terms: &DrawTerms) -> Tokens {
         let left = self.outlook.map_or(terms.tokens, |outlook| outlook.left);
-        terms.floor(left, Tokens::MAX)
+        terms.min_held(left, Tokens::MAX)
     }
 
     /// Tokens that may be reserved now.
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::holder::{Account, Holder, Outlook, Shortfall, Terms, Wish};
+use crate::holder::{Account, DrawTerms, Holder, Outlook, RequestDemand, Shortfall};
 use crate::{Incarnation, Millis, Name, Tokens};
 
 /// What an owner keeps in reserve for others, in seconds of what it handed on of
@@ -28,11 +28,11 @@
 /// Of what is left of a budget, one part is kept ahead by all holders together
 /// and this many stay with the store: what is kept is lost when all hosts lose
 /// power at once, and must serve in a cut.
-pub const LEFT_PER_HELD: u64 = 2;
+pub const LEFT_TO_HELD_RATIO: u64 = 2;
 
 /// A daemon asks the owner of a budget's shard for tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TokenRequest {
     /// The budget.
     pub budget: Name,
     /// Who asks.
@@ -49,7 +49,8 @@
     /// Fewer tokens than these are of no use.
     pub need: Tokens,
     /// The request that needs them; none for an ask ahead.
-    pub wish: Option<Wish>,
+    #[serde(rename = "wish")]
+    pub demand: Option<RequestDemand>,
     /// Tokens that would last for the horizon.
     pub want: Tokens,
     /// Recent spending of the asker, in tokens a second.
@@ -72,16 +73,16 @@
     /// What is to be kept in reserve for other daemons: something for needs that
     /// come up, and what they wanted ahead and did not get.
     pub(super) fn reserve_for_others(&self, now: Millis) -> Tokens {
-        (self.handed_on.per_second(now) * RESERVE_S) as Tokens + self.unmet
+        (self.allotted_rate.per_second(now) * RESERVE_S) as Tokens + self.unmet
     }
 
     /// The budget for a holder that spends at `rate`: it may keep ahead its part of
     /// what the whole fleet spends, of what may be held.
     fn outlook_for(&self, rate: Tokens, now: Millis) -> Outlook {
         let left = self.outlook.map_or(0, |outlook| outlook.left) + self.free();
-        let fleet = self.rate.per_second(now) + self.handed_on.per_second(now);
+        let fleet = self.rate.per_second(now) + self.allotted_rate.per_second(now);
         let part = (rate as f64 / fleet.max(1.0)).min(1.0);
-        let share = (left as f64 * part * held_part(left, self.total)) as Tokens;
+        let share = (left as f64 * part * held_fraction(left, self.total)) as Tokens;
         Outlook { share, left }
     }
 }
@@ -89,36 +90,36 @@
 /// Part of what is left of a budget that all holders together keep ahead. It falls
 /// as the budget nears its end: what is lost with the hosts then is missed for the
 /// rest of its time, while a caller that is refused in a cut may come back.
-pub fn held_part(left: Tokens, total: Tokens) -> f64 {
-    plenty(left, total) / LEFT_PER_HELD as f64
+pub fn held_fraction(left: Tokens, total: Tokens) -> f64 {
+    end_taper(left, total) / LEFT_TO_HELD_RATIO as f64
 }
 
 /// 1 while more is left of a budget than its last part; from there on it falls to 0 with
 /// what is left.
-pub(super) fn plenty(left: Tokens, total: Tokens) -> f64 {
+pub(super) fn end_taper(left: Tokens, total: Tokens) -> f64 {
     let near_end = total as f64 * TAPER_BELOW;
     if near_end > 0.0 { (left as f64 / near_end).min(1.0) } else { 1.0 }
 }
 
 impl Holder {
     /// What to ask the owner for, so that `need` more tokens can be reserved.
-    pub fn ask(
+    pub fn token_request(
         &mut self,
         budget: &Name,
         owner: Option<Incarnation>,
         need: Tokens,
-        terms: &Terms,
+        terms: &DrawTerms,
         now: Millis,
-    ) -> Ask {
+    ) -> TokenRequest {
         let holder = self.incarnation;
-        let usual = self.usual_request(now);
+        let usual = self.mean_request(now);
         let account = self.accounts.entry(budget.clone()).or_default();
         let at_hand = if need == 0 { account.free() } else { 0 };
-        let ahead = account.ahead(terms, usual, now).saturating_sub(at_hand);
+        let ahead = account.prefetch_target(terms, usual, now).saturating_sub(at_hand);
         let sum = |sums: &HashMap<Incarnation, Tokens>| {
             owner.and_then(|owner| sums.get(&owner)).copied().unwrap_or(0)
         };
-        Ask {
+        TokenRequest {
             budget: budget.clone(),
             holder,
             owner,
@@ -126,29 +127,29 @@
             given_back: sum(&account.sent),
             free: account.free(),
             need,
-            wish: None,
+            demand: None,
             want: need.saturating_add(ahead),
-            rate: account.rate.with(need, now) as Tokens,
+            rate: account.rate.per_second_with(need, now) as Tokens,
         }
     }
 
     /// Takes in what the asker has given back.
-    pub fn asked(&mut self, ask: &Ask, now: Millis) {
+    pub fn record_given_back(&mut self, ask: &TokenRequest, now: Millis) {
         if ask.owner != Some(self.incarnation) {
             return;
         }
         let known = self.received_from(&ask.budget, ask.holder);
-        self.received(&ask.budget, ask.holder, ask.given_back);
+        self.record_received(&ask.budget, ask.holder, ask.given_back);
         let account = self.accounts.entry(ask.budget.clone()).or_default();
         // What comes back was not spent.
-        account.handed_on.fell(known, ask.given_back.max(known), now);
+        account.allotted_rate.record_drop(known, ask.given_back.max(known), now);
     }
 
     /// Hands on what `ask` needs, and what it wants as far as there is some.
     ///
     /// # Errors
     /// [`Shortfall`] when what it needs is not free here; nothing is sent then.
-    pub fn allot(&mut self, ask: &Ask, now: Millis) -> Result<Allotted, Shortfall> {
+    pub fn allot(&mut self, ask: &TokenRequest, now: Millis) -> Result<Allotted, Shortfall> {
         let knows_me = ask.owner == Some(self.incarnation);
         let received = if knows_me { ask.received } else { 0 };
         let owner = self.incarnation;
@@ -174,7 +175,7 @@
         let cumulative = *sent;
         // They ask again soon; the next draw counts what they lack now.
         account.unmet += most.saturating_sub(under_way).saturating_sub(more);
-        account.handed_on.add(more, now);
+        account.allotted_rate.add(more, now);
         if ask.need > 0 {
             // What a request of the asker lacks is what it costs, mostly.
             self.asked_for.add(ask.need, now);
@@ -184,19 +185,19 @@
     }
 
     /// Counts what an ask lacks in the next draw.
-    pub fn owe(&mut self, ask: &Ask) {
+    pub fn record_unmet(&mut self, ask: &TokenRequest) {
         let account = self.accounts.entry(ask.budget.clone()).or_default();
         account.unmet += ask.want;
     }
 
     /// Whether others wanted tokens since the last draw and did not get them.
-    pub fn owes(&self, budget: &Name) -> bool {
+    pub fn has_unmet(&self, budget: &Name) -> bool {
         self.accounts.get(budget).is_some_and(|account| account.unmet > 0)
     }
 
     /// Hands on a part of what is free here to a peer that can't draw: the store
     /// is out of its reach, or has none left.
-    pub fn lend(&mut self, ask: &Ask) -> Allotted {
+    pub fn lend(&mut self, ask: &TokenRequest) -> Allotted {
         let knows_me = ask.owner == Some(self.incarnation);
         let owner = self.incarnation;
         let account = self.accounts.entry(ask.budget.clone()).or_default();
@@ -209,36 +210,36 @@
 
     /// Debits all that is free, for a peer that goes on; returns the cumulative sum
     /// sent to it, which may be told again.
-    pub fn hand_over(&mut self, budget: &Name, receiver: Incarnation) -> Tokens {
-        self.give(budget, receiver, 0, Tokens::MAX)
+    pub fn transfer_all(&mut self, budget: &Name, receiver: Incarnation) -> Tokens {
+        self.transfer(budget, receiver, 0, Tokens::MAX)
     }
 
     /// Takes in what a peer has lent; returns how many tokens are new.
-    pub fn lent(&mut self, budget: &Name, lent: Allotted) -> Tokens {
+    pub fn record_loan(&mut self, budget: &Name, lent: Allotted) -> Tokens {
         let before = self.received_from(budget, lent.owner);
-        self.received(budget, lent.owner, lent.cumulative);
+        self.record_received(budget, lent.owner, lent.cumulative);
         lent.cumulative.saturating_sub(before)
     }
 
     /// Takes in what an owner has handed on.
-    pub fn allotted(&mut self, budget: &Name, allotted: Allotted, now: Millis) {
-        self.received(budget, allotted.owner, allotted.cumulative);
+    pub fn record_allotted(&mut self, budget: &Name, allotted: Allotted, now: Millis) {
+        self.record_received(budget, allotted.owner, allotted.cumulative);
         if let Some(outlook) = allotted.outlook {
-            self.known(budget, outlook, now);
+            self.set_outlook(budget, outlook, now);
         }
     }
 
     /// Debits what is free beyond need, to be given back to `owner` by the next
     /// ask; returns how much.
-    pub fn give_back_surplus(
+    pub fn return_surplus_to_owner(
         &mut self,
         budget: &Name,
         owner: Incarnation,
-        terms: &Terms,
+        terms: &DrawTerms,
         now: Millis,
     ) -> Tokens {
-        let terms = self.in_force(terms, now);
-        let usual = self.usual_request(now);
+        let terms = self.effective(terms, now);
+        let usual = self.mean_request(now);
         let Some(account) = self.accounts.get_mut(budget) else { return 0 };
         // The owner keeps for needs, and that is another one now.
         account.kept_for_needs = 0;
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::holder::allot::held_part;
-use crate::holder::keeps::Keeps;
+use crate::holder::allot::held_fraction;
+use crate::holder::prefetch::PrefetchScope;
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
 
 /// Terms of a budget's row that go along with a draw.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct DrawTerms {
     /// Tokens that the row allows.
     pub tokens: Tokens,
     /// The row's version.
@@ -21,33 +21,34 @@
     /// At least this part of an equal share, so that a daemon that spends
     /// little has something in hand when the store is away.
     pub held_ahead: f64,
-    /// Part of what all holders together may keep ([`held_part`]) that an owner in a
+    /// Part of what all holders together may keep ([`held_fraction`]) that an owner in a
     /// large fleet keeps for the others before any spending is known; 0 for the others.
     pub kept_for_others: f64,
     /// For whom the holder keeps tokens ahead.
-    pub keeps: Keeps,
+    #[serde(rename = "keeps")]
+    pub prefetch: PrefetchScope,
     /// Daemons that share the budget, as the drawing one knows.
     pub daemons: u64,
 }
 
-impl Terms {
+impl DrawTerms {
     /// What to give a holder that wants `want` of `available` tokens.
-    pub fn amount(&self, want: Tokens, available: Tokens) -> Tokens {
+    pub fn draw_amount(&self, want: Tokens, available: Tokens) -> Tokens {
         want.min(available / self.share_divisor.max(1))
     }
 
     /// What a holder should have in hand, whatever it spends: a part of an
     /// equal share of `shared`, and never more than half of what is still
     /// available.
-    pub fn floor(&self, shared: Tokens, available: Tokens) -> Tokens {
+    pub fn min_held(&self, shared: Tokens, available: Tokens) -> Tokens {
         let equal = shared as f64 / self.daemons.max(1) as f64;
-        let for_others = shared as f64 * held_part(shared, self.tokens) * self.kept_for_others;
+        let for_others = shared as f64 * held_fraction(shared, self.tokens) * self.kept_for_others;
         let floor = (equal * self.held_ahead).max(for_others) as Tokens;
         floor.min(available / 2)
     }
 }
 
-/// A holder's wish for more tokens.
+/// A holder's request for more tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Draw {
     /// The budget.
@@ -67,7 +68,8 @@
     /// Who is to attest what the holder opens while the store is away.
     pub witnesses: Vec<Witness>,
     /// An earlier start at that address, by the holder's word, which ends with this draw.
-    pub ends: Option<Incarnation>,
+    #[serde(rename = "ends")]
+    pub replaced_start: Option<Incarnation>,
     /// Counts the draws of this holder and budget.
     pub number: u64,
     /// Cumulative tokens that the holder has given back to the store; they are
@@ -82,5 +84,5 @@
     /// Recent spending of the holder, in tokens a second.
     pub rate: Tokens,
     /// The budget's row as the holder knows it.
-    pub terms: Terms,
+    pub terms: DrawTerms,
 }
--- a/crates/core/src/holder/holdings.rs
+++ b/crates/core/src/holder/holdings.rs
@@ -11,14 +11,14 @@
 
 /// How many attempts have tokens set aside, and for how long.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Running {
+pub struct RunningAttempts {
     /// Attempts.
     pub count: u64,
     /// Sum of the times at which they began, each in milliseconds since the start.
     began_sum: Millis,
 }
 
-impl Running {
+impl RunningAttempts {
     pub(super) fn begin(&mut self, now: Millis) {
         self.count += 1;
         self.began_sum += now;
@@ -29,7 +29,7 @@
         self.began_sum -= began;
     }
 
-    fn add(&mut self, other: Running) {
+    fn add(&mut self, other: RunningAttempts) {
         self.count += other.count;
         self.began_sum += other.began_sum;
     }
@@ -63,12 +63,12 @@
     /// Granted, but not yet open.
     pub sealed: Tokens,
     /// Attempts that run.
-    pub running: Running,
+    pub running: RunningAttempts,
 }
 
 /// What is held of one budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Held {
+pub struct BudgetHolding {
     /// The budget.
     pub budget: Name,
     /// Free or sealed.
@@ -77,7 +77,7 @@
     pub reserved: Tokens,
 }
 
-impl fmt::Display for Held {
+impl fmt::Display for BudgetHolding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}+{}", self.budget, self.unspent, self.reserved)
     }
@@ -85,14 +85,15 @@
 
 impl Holder {
     /// The budgets of which most is held, at most `count` of them, the most first.
-    pub fn most_held(&self, count: usize) -> Vec<Held> {
-        let held = self.accounts.iter().map(|(budget, account)| Held {
+    pub fn largest_holdings(&self, count: usize) -> Vec<BudgetHolding> {
+        let held = self.accounts.iter().map(|(budget, account)| BudgetHolding {
             budget: budget.clone(),
             unspent: account.free() + account.sealed(),
             reserved: account.reserved,
         });
-        let mut held: Vec<Held> = held.filter(|held| held.unspent + held.reserved > 0).collect();
-        let most_first = |held: &Held| Reverse(held.unspent + held.reserved);
+        let mut held: Vec<BudgetHolding> =
+            held.filter(|held| held.unspent + held.reserved > 0).collect();
+        let most_first = |held: &BudgetHolding| Reverse(held.unspent + held.reserved);
         if count < held.len() {
             // A daemon may have 39,000 budgets: only those that are told get sorted.
             held.select_nth_unstable_by_key(count, most_first);
--- a/crates/core/src/holder/rate.rs
+++ b/crates/core/src/holder/rate.rs
@@ -28,7 +28,7 @@
     }
 
     /// Counts what a level fell by, or takes off what it rose by.
-    pub(super) fn fell(&mut self, before: Tokens, level: Tokens, now: Millis) {
+    pub(super) fn record_drop(&mut self, before: Tokens, level: Tokens, now: Millis) {
         self.add(before.saturating_sub(level), now);
         self.sum = (self.sum - level.saturating_sub(before) as f64).max(0.0);
     }
@@ -44,7 +44,7 @@
     }
 
     /// Tokens a second once `tokens` are spent now.
-    pub(super) fn with(mut self, tokens: Tokens, now: Millis) -> f64 {
+    pub(super) fn per_second_with(mut self, tokens: Tokens, now: Millis) -> f64 {
         self.add(tokens, now);
         self.per_second(now)
     }
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -11,7 +11,7 @@
 
 /// Ranks below this one count as this one, eight times the window: by doubling further,
 /// the least urgent of ten ranks would be refused while most of a budget is left.
-const LOWEST_RANK: u32 = 3;
+const MAX_RANK: u32 = 3;
 
 /// A budget as its ledger, or its shard's owner, saw it last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
 
 /// What a request asks of its budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct RequestDemand {
     /// The most that it may cost, in tokens.
     pub tokens: Tokens,
     /// How urgent the table calls it: 0 is the most urgent.
@@ -41,10 +41,10 @@
 impl Holder {
     /// The most that the request behind an ask may take, as the owner sees the budget
     /// ([`Holder::ration`]); what the store has left is out of reach while it is away.
-    pub fn ration_of(
+    pub fn ration_for(
         &self,
         budget: &Name,
-        wish: &Wish,
+        demand: &RequestDemand,
         is_store_away: bool,
         now: Millis,
     ) -> Tokens {
@@ -52,11 +52,17 @@
         let Some(outlook) = account.outlook else { return Tokens::MAX };
         let free = account.free();
         let left = if is_store_away { free * OUTAGE_FACTOR } else { outlook.left + free };
-        self.equal_part(account, left, wish, now)
+        self.equal_part(account, left, demand, now)
     }
 
-    fn equal_part(&self, account: &Account, left: Tokens, wish: &Wish, now: Millis) -> Tokens {
-        let window_s = wish.ration_s * f64::from(wish.rank.min(LOWEST_RANK)).exp2();
+    fn equal_part(
+        &self,
+        account: &Account,
+        left: Tokens,
+        demand: &RequestDemand,
+        now: Millis,
+    ) -> Tokens {
+        let window_s = demand.ration_s * f64::from(demand.rank.min(MAX_RANK)).exp2();
         let expected = self.fleet_requests_per_second(account, now) * window_s;
         (left as f64 / expected.max(1.0)) as Tokens
     }
@@ -64,8 +70,8 @@
     /// Requests a second of one budget that the whole fleet lets in: what it takes, by the
     /// mean request here. Of one budget alone a daemon of a large fleet sees too few.
     fn fleet_requests_per_second(&self, account: &Account, now: Millis) -> f64 {
-        let through_here = account.rate.per_second(now) + account.handed_on.per_second(now);
-        let fleet_rate = account.taken.per_second(now).max(through_here);
+        let through_here = account.rate.per_second(now) + account.allotted_rate.per_second(now);
+        let fleet_rate = account.fleet_rate.per_second(now).max(through_here);
         let asked_for = self.asked_for.per_second(now);
         if asked_for == 0.0 {
             return 0.0;
@@ -77,23 +83,23 @@
     /// requests that are expected within `ration_s` seconds, and within twice as long
     /// for each `rank` below the most urgent (0). Without limit while nothing is known.
     pub fn ration(&self, budget: &Name, ration_s: f64, rank: u32, now: Millis) -> Tokens {
-        let wish = Wish { tokens: 0, rank, ration_s };
-        self.ration_of(budget, &wish, false, now)
+        let demand = RequestDemand { tokens: 0, rank, ration_s };
+        self.ration_for(budget, &demand, false, now)
     }
 
     /// Takes in what is known of a budget as a whole.
-    pub fn known(&mut self, budget: &Name, outlook: Outlook, now: Millis) {
+    pub fn set_outlook(&mut self, budget: &Name, outlook: Outlook, now: Millis) {
         let account = self.accounts.entry(budget.clone()).or_default();
         // What daemons draw ahead and give back again is not taken.
         let before = account.outlook.map_or(outlook.left, |before| before.left);
-        account.taken.fell(before, outlook.left, now);
+        account.fleet_rate.record_drop(before, outlook.left, now);
         account.outlook = Some(outlook);
-        account.known_at = now;
+        account.outlook_at = now;
     }
 
     /// How old that is, in milliseconds; none when nothing is known.
     pub fn outlook_age(&self, budget: &Name, now: Millis) -> Option<Millis> {
         let account = self.accounts.get(budget)?;
-        account.outlook.map(|_| now.saturating_sub(account.known_at))
+        account.outlook.map(|_| now.saturating_sub(account.outlook_at))
     }
 }
--- a/crates/core/src/holder/statement.rs
+++ b/crates/core/src/holder/statement.rs
@@ -8,7 +8,7 @@
 
 /// What one daemon says of a budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct DaemonHolding {
     /// The budget.
     pub budget: Name,
     /// The daemon.
@@ -39,30 +39,33 @@
     /// Kept by starts of daemons that have ended: spent, or lost with them.
     pub ended: i64,
     /// Granted to starts that did not answer: spent, held or lost there.
-    pub silent: Tokens,
+    #[serde(rename = "silent")]
+    pub unanswered: Tokens,
     /// What is left: on its way between daemons and the store, or handed on to a daemon that
     /// did not answer. Below zero while a daemon was asked before tokens came to it.
-    pub on_the_way: i64,
+    #[serde(rename = "on_the_way")]
+    pub in_transit: i64,
     /// The daemons that answered and had anything of it.
-    pub holders: Vec<Holding>,
+    pub holders: Vec<DaemonHolding>,
 }
 
 impl Statement {
     /// What the store says, and what daemons said just before.
-    pub fn of(ledger: &Ledger, mut holders: Vec<Holding>) -> Self {
-        let sum = |part: fn(&Holding) -> Tokens| holders.iter().map(part).sum::<Tokens>();
+    pub fn new(ledger: &Ledger, mut holders: Vec<DaemonHolding>) -> Self {
+        let sum = |part: fn(&DaemonHolding) -> Tokens| holders.iter().map(part).sum::<Tokens>();
         let (spent, reserved, held) =
             (sum(|one| one.spent), sum(|one| one.reserved), sum(|one| one.held));
         let has_answered =
             |start: &Incarnation| holders.iter().any(|one| one.incarnation == *start);
-        let silent = ledger.grants.iter().filter(|(start, _)| !has_answered(start));
-        let silent = silent.map(|(_, grant)| grant.granted.saturating_sub(grant.returned)).sum();
+        let unanswered = ledger.grants.iter().filter(|(start, _)| !has_answered(start));
+        let unanswered =
+            unanswered.map(|(_, grant)| grant.granted.saturating_sub(grant.returned)).sum();
         // What a start that has ended kept is in the ledger, whether or not it still answers.
-        let is_ended = |one: &&Holding| ledger.retired_holders.contains(&one.incarnation);
+        let is_ended = |one: &&DaemonHolding| ledger.retired_holders.contains(&one.incarnation);
         let told_twice: Tokens = holders.iter().filter(is_ended).map(|one| one.spent).sum();
         let ended = ledger.retired - told_twice as i64;
-        let there = spent + reserved + held + silent;
-        let on_the_way = ledger.committed() - ended - there as i64;
+        let there = spent + reserved + held + unanswered;
+        let in_transit = ledger.committed() - ended - there as i64;
         holders.retain(|one| one.spent + one.reserved + one.held > 0);
         holders.sort_by(|a, b| a.daemon.cmp(&b.daemon));
         Statement {
@@ -72,15 +75,15 @@
             reserved,
             held,
             ended,
-            silent,
-            on_the_way,
+            unanswered,
+            in_transit,
             holders,
         }
     }
 
     /// What is neither spent nor known to be left: set aside, on its way, or with daemons that
     /// have ended or did not answer.
-    pub fn elsewhere(&self) -> i64 {
+    pub fn unaccounted(&self) -> i64 {
         self.total as i64 - self.spent as i64 - self.left() as i64
     }
 
@@ -92,9 +95,9 @@
 
 impl Holder {
     /// What this daemon holds and has spent of a budget.
-    pub fn holding(&self, daemon: &Name, incarnation: Incarnation, budget: &Name) -> Holding {
+    pub fn holding(&self, daemon: &Name, incarnation: Incarnation, budget: &Name) -> DaemonHolding {
         let account = self.accounts.get(budget);
-        Holding {
+        DaemonHolding {
             budget: budget.clone(),
             daemon: daemon.clone(),
             incarnation,
--- a/crates/core/src/owner/draft.rs
+++ b/crates/core/src/owner/draft.rs
@@ -36,7 +36,7 @@
     ledger.grant(draw.holder, &draw.address, 0);
     ledger.spends_at(draw.holder, draw.rate);
     let sealed = ledger.granted_to(draw.holder).saturating_sub(opened);
-    let ahead = draw.terms.amount(draw.want, available + sealed);
+    let ahead = draw.terms.draw_amount(draw.want, available + sealed);
     let share = ledger.share(draw.holder, &draw.terms);
     let ahead = if draw.witnesses.is_empty() { ahead.min(share) } else { ahead };
     let wanted = ahead.max(need);
@@ -44,7 +44,7 @@
     // budget's end would draw all of it. 0.807 and 0.827 of the requests were served, by
     // the whole budget 0.795 and 0.816 (two deployments, 20 and 15 days with faults).
     let shared = if draw.witnesses.is_empty() { available } else { ledger.total() };
-    let floor = draw.terms.floor(shared, available);
+    let floor = draw.terms.min_held(shared, available);
     let held = draw.free + sealed;
     let more = wanted.saturating_sub(sealed).max(floor.saturating_sub(held)).min(available);
     ledger.grant(draw.holder, &draw.address, more);
--- a/crates/core/src/owner/gather.rs
+++ b/crates/core/src/owner/gather.rs
@@ -88,7 +88,7 @@
     /// Takes the need of a draw, or a share, from what a collection brought.
     pub(super) fn take(&mut self, draw: &Draw, need: Tokens) -> Tokens {
         let gather = self.by_budget.entry(draw.budget.clone()).or_default();
-        let most = draw.terms.amount(draw.want, gather.free).max(need);
+        let most = draw.terms.draw_amount(draw.want, gather.free).max(need);
         gather.free = gather.free.saturating_sub(most);
         most
     }
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -78,7 +78,7 @@
         }
         if !draw.witnesses.is_empty() && ledger.is_full_for(draw.holder) {
             // The owner takes the grant and sends the tokens on.
-            let amount = draw.terms.amount(draw.want, ledger.available()).max(need);
+            let amount = draw.terms.draw_amount(draw.want, ledger.available()).max(need);
             let own = Some(self.grant_to_me(ledger, amount));
             let reply = granted_reply(ledger, draw, false);
             return Decision::AfterWrite(Outcome::Give { own, most: amount, need, reply });
@@ -88,7 +88,7 @@
             // of the earlier start, and late. With witnesses, what an earlier
             // start never opened is taken back instead.
             ledger.end_earlier_starts(draw.holder, &draw.address);
-        } else if let Some(earlier) = draw.ends
+        } else if let Some(earlier) = draw.replaced_start
             && draw.witnesses.is_empty()
         {
             ledger.end_earlier_start(earlier, draw.holder, &draw.address);
--- a/crates/core/src/router/choose.rs
+++ b/crates/core/src/router/choose.rs
@@ -5,7 +5,7 @@
 use crate::router::load::Load;
 use crate::router::pool::{HallPool, Pool};
 use crate::router::view::ServerView;
-use crate::table::HOURS;
+use crate::table::HOURS_PER_DAY;
 use crate::{Millis, Name, Tokens};
 
 /// Requests that a server may have beyond its part, so that idle halls keep affinity.
@@ -230,7 +230,7 @@
         let mut halls: Vec<(bool, f64, &HallPool)> = pool
             .halls
             .iter()
-            .filter(|hall| hall.weights[wanted.hour % HOURS] > 0.0)
+            .filter(|hall| hall.weights[wanted.hour % HOURS_PER_DAY] > 0.0)
             .filter(|hall| hall.may_serve(&wanted.homes))
             .map(|hall| (failed.contains(&&hall.hall), hall.score(wanted), hall))
             .collect();
--- a/crates/core/src/router/pool.rs
+++ b/crates/core/src/router/pool.rs
@@ -6,7 +6,7 @@
 use crate::router::load::Load;
 use crate::router::reading::MeanPace;
 use crate::router::{Homes, Wanted};
-use crate::table::{HOURS, Server, Table};
+use crate::table::{HOURS_PER_DAY, Server, Table};
 use crate::{Millis, Name};
 
 /// Points on a hall's ring for a server of weight 1.
@@ -23,7 +23,7 @@
     /// Whether it takes new work.
     pub(super) is_open: bool,
     pub(super) region: Option<Name>,
-    pub(super) weights: [f64; HOURS],
+    pub(super) weights: [f64; HOURS_PER_DAY],
     /// Hashed points in ascending order, each with an index into the servers.
     pub(super) ring: Vec<(u64, u32)>,
     pub(super) members: Vec<u32>,
@@ -48,7 +48,7 @@
 impl HallPool {
     pub(super) fn new(table: &Table, hall: &Name) -> Self {
         let row = table.halls.iter().find(|row| row.name == *hall);
-        let mut weights = [row.map_or(1.0, |row| row.weight); HOURS];
+        let mut weights = [row.map_or(1.0, |row| row.weight); HOURS_PER_DAY];
         if let Some(row) = row {
             for (weight, by_hour) in weights.iter_mut().zip(&row.weights_by_hour) {
                 *weight = *by_hour;
@@ -87,6 +87,6 @@
     pub(super) fn score(&self, wanted: &Wanted) -> f64 {
         let hash = rendezvous_score(wanted.prefix, self.hall_key);
         let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-        -self.weights[wanted.hour % HOURS] / uniform.ln()
+        -self.weights[wanted.hour % HOURS_PER_DAY] / uniform.ln()
     }
 }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::holder::{Draw, Keeps, Outlook, Terms, held_part};
+use crate::holder::{Draw, DrawTerms, Outlook, PrefetchScope, held_fraction};
 use crate::id::shard_of_name;
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
@@ -118,16 +118,16 @@
     }
 
     /// What one holder may keep ahead, so that a multiple is left here of what all
-    /// holders have together ([`held_part`]): holders that are lost take little
+    /// holders have together ([`held_fraction`]): holders that are lost take little
     /// with them, and one that runs out finds something. Who spends more may keep
     /// more: callers are not spread evenly over daemons.
     ///
     /// `terms` tell how many daemons there are: grants of daemons that are gone stay. One
     /// that keeps for the whole fleet may keep what all may.
-    pub fn share(&self, holder: Incarnation, terms: &Terms) -> Tokens {
+    pub fn share(&self, holder: Incarnation, terms: &DrawTerms) -> Tokens {
         let left = self.available();
-        if terms.keeps == Keeps::ForFleet {
-            return (left as f64 * held_part(left, self.total())) as Tokens;
+        if terms.prefetch == PrefetchScope::ForFleet {
+            return (left as f64 * held_fraction(left, self.total())) as Tokens;
         }
         let holders = (self.grants.len() as u64).clamp(1, terms.daemons.max(1));
         let fleet: u64 = self.grants.values().map(|grant| grant.rate).sum();
@@ -136,11 +136,11 @@
         let part = if fleet == 0 { equal } else { rate as f64 / fleet as f64 };
         // A holder that has been quiet may have its callers back at any time.
         let part = part.max(equal * QUIET_PART);
-        (left as f64 * part * held_part(left, self.total())) as Tokens
+        (left as f64 * part * held_fraction(left, self.total())) as Tokens
     }
 
     /// The budget as `holder` is told of it.
-    pub fn outlook(&self, holder: Incarnation, terms: &Terms) -> Outlook {
+    pub fn outlook(&self, holder: Incarnation, terms: &DrawTerms) -> Outlook {
         let share = self.share(holder, terms);
         Outlook { share, left: self.available() }
     }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use route::{Route, RouteTarget, Share};
+pub use route::{Route, RouteTarget, ServiceShare};
 pub use server::{ListedState, Server, ServerKind, ServerState};
 pub use service::{CallerLimits, ColdStart, Engine, Service};
 
 use crate::{Name, Tokens};
 
 /// Hours of a day, for weights that follow the sun.
-pub const HOURS: usize = 24;
+pub const HOURS_PER_DAY: usize = 24;
 
 /// How many of the last changes the table remembers.
 pub const HISTORY_LENGTH: usize = 128;
@@ -43,7 +43,7 @@
 
 impl Hall {
     /// A hall that only the platform names.
-    pub fn of_platform(name: Name) -> Self {
+    pub fn from_platform(name: Name) -> Self {
         Hall {
             name,
             weight: one_weight(),
@@ -79,7 +79,7 @@
 /// Which error a budget's owner minds more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WhenShort {
+pub enum ShortagePolicy {
     /// Answer at once, also while running requests may still give tokens back.
     #[default]
     Refuse,
@@ -110,7 +110,7 @@
     pub held_ahead: f64,
     /// What a daemon does before it refuses.
     #[serde(default)]
-    pub when_short: WhenShort,
+    pub when_short: ShortagePolicy,
     /// Revision of the table that wrote this row last; written by the system.
     #[serde(default)]
     pub version: u64,
@@ -118,7 +118,7 @@
 
 impl Budget {
     /// The only budget of a workspace, named like it, drawn on as by default.
-    pub fn of_workspace(workspace: Name, tokens: Tokens, version: u64) -> Self {
+    pub fn for_workspace(workspace: Name, tokens: Tokens, version: u64) -> Self {
         Budget {
             name: workspace.clone(),
             workspace,
@@ -126,7 +126,7 @@
             horizon_s: default_horizon_s(),
             share_divisor: default_share_divisor(),
             held_ahead: default_held_ahead(),
-            when_short: WhenShort::Refuse,
+            when_short: ShortagePolicy::Refuse,
             version,
         }
     }
@@ -228,13 +228,13 @@
     }
 
     /// The workspace whose keys hold this hash.
-    pub fn workspace_of_key(&self, sha256: &str) -> Option<&Workspace> {
+    pub fn workspace_by_key(&self, sha256: &str) -> Option<&Workspace> {
         let holds = |row: &&Workspace| row.keys_sha256.iter().any(|key| key == sha256);
         self.workspaces.iter().find(holds)
     }
 
     /// The route that serves this model.
-    pub fn route_of_model(&self, wanted: &str) -> Option<&Route> {
+    pub fn route_for_model(&self, wanted: &str) -> Option<&Route> {
         self.routes.iter().find(|row| match &row.target {
             RouteTarget::Model { model } => model.as_str() == wanted,
             RouteTarget::Service { .. } | RouteTarget::Host { .. } => false,
@@ -242,7 +242,7 @@
     }
 
     /// The service route with the longest prefix of this path.
-    pub fn route_of_path(&self, path: &str) -> Option<&Route> {
+    pub fn route_for_path(&self, path: &str) -> Option<&Route> {
         let fitting = self.routes.iter().filter_map(|row| match &row.target {
             RouteTarget::Service { path_prefix, .. } if path.starts_with(path_prefix.as_str()) => {
                 Some((path_prefix.len(), row))
@@ -253,7 +253,7 @@
     }
 
     /// The route of this host with the longest prefix of this path.
-    pub fn route_of_host(&self, wanted: &str, path: &str) -> Option<&Route> {
+    pub fn route_for_host(&self, wanted: &str, path: &str) -> Option<&Route> {
         let fitting = self.routes.iter().filter_map(|row| match &row.target {
             RouteTarget::Host { host, path_prefix, .. }
                 if host == wanted && path.starts_with(path_prefix.as_str()) =>
--- a/crates/core/src/table/route.rs
+++ b/crates/core/src/table/route.rs
@@ -8,7 +8,7 @@
 /// A part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Share {
+pub struct ServiceShare {
     /// The service that takes this part.
     pub service: Name,
     /// Its part, against the route's other shares.
@@ -40,7 +40,7 @@
         /// Paths that begin so are led to `split`; the longest one wins.
         path_prefix: String,
         /// The services, each with its part.
-        split: Vec<Share>,
+        split: Vec<ServiceShare>,
     },
 }
 
--- a/crates/core/src/table_check.rs
+++ b/crates/core/src/table_check.rs
@@ -3,7 +3,9 @@
 use std::collections::HashSet;
 
 use crate::error::RowFault;
-use crate::table::{HOURS, Hall, Route, RouteTarget, Row, Server, ServerKind, Share, Table};
+use crate::table::{
+    HOURS_PER_DAY, Hall, Route, RouteTarget, Row, Server, ServerKind, ServiceShare, Table,
+};
 use crate::{Error, Name, Result};
 
 /// Digits of a SHA-256 in hexadecimal.
@@ -71,7 +73,7 @@
     for hall in &table.halls {
         check_hall(hall, faults);
     }
-    for hour in 0..HOURS {
+    for hour in 0..HOURS_PER_DAY {
         let weighs = |hall: &Hall| hall.weights_by_hour.get(hour).copied().unwrap_or(hall.weight);
         let all_zero = table.halls.iter().all(|hall| weighs(hall) == 0.0);
         if let (true, Some(first)) = (all_zero, table.halls.first()) {
@@ -84,7 +86,7 @@
 
 fn check_hall(hall: &Hall, faults: &mut Faults) {
     let count = hall.weights_by_hour.len();
-    if count != 0 && count != HOURS {
+    if count != 0 && count != HOURS_PER_DAY {
         let problem = format!("{count} weights stand where 24 belong");
         faults.add(hall, "weights_by_hour", problem, "give one weight for each hour from 0 to 23");
     }
@@ -221,7 +223,7 @@
         let problem = "an output limit of 0 lets nothing through".to_owned();
         faults.add(row, "max_tokens", problem, "use 1 or more");
     }
-    let first = table.route_of_model(model.as_str()).map(|route| &route.name);
+    let first = table.route_for_model(model.as_str()).map(|route| &route.name);
     if first != Some(&row.name) {
         let problem = format!("model '{model}' has a route already");
         faults.add(row, "model", problem, "keep one route for each model");
@@ -260,7 +262,7 @@
     table: &Table,
     row: &Route,
     path_prefix: &str,
-    split: &[Share],
+    split: &[ServiceShare],
     faults: &mut Faults,
 ) {
     if !path_prefix.starts_with('/') || !path_prefix.ends_with('/') {
--- a/crates/core/tests/allotment.rs
+++ b/crates/core/tests/allotment.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use bankcove_core::holder::{Allotted, Ask, Holder, Outlook, Reservation, Terms};
+use bankcove_core::holder::{Allotted, DrawTerms, Holder, Outlook, Reservation, TokenRequest};
 use bankcove_core::{Incarnation, Millis, Tokens};
 use common::budget;
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 /// The one that has the grant of the store; others ask it and each other.
 const OWNER: usize = 0;
 
-fn terms() -> Terms {
+fn terms() -> DrawTerms {
     common::terms(TOTAL, HOLDERS as u64)
 }
 
@@ -48,48 +48,49 @@
     holders: Vec<Holder>,
     open: Vec<Vec<Reservation>>,
     gone: Tokens,
-    last: Option<Ask>,
+    last: Option<TokenRequest>,
 }
 
 impl World {
     fn new() -> Self {
         let mut holders: Vec<Holder> =
             (0..HOLDERS).map(|n| Holder::new(Incarnation(n as u64 + 1))).collect();
-        holders[OWNER].granted(&budget(), TOTAL);
-        holders[OWNER].opened(&budget(), TOTAL);
-        holders[OWNER].known(&budget(), whole_is_left(), 0);
+        holders[OWNER].record_granted(&budget(), TOTAL);
+        holders[OWNER].record_opened(&budget(), TOTAL);
+        holders[OWNER].set_outlook(&budget(), whole_is_left(), 0);
         let open = (0..HOLDERS).map(|_| Vec::new()).collect();
         World { now: 0, starts: HOLDERS as u64, holders, open, gone: 0, last: None }
     }
 
     fn ask(&mut self, from: usize, to: usize, need: Tokens, way: Way) {
         let peer = self.holders[to].incarnation();
-        let ask = self.holders[from].ask(&budget(), Some(peer), need, &terms(), self.now);
+        let ask = self.holders[from].token_request(&budget(), Some(peer), need, &terms(), self.now);
         self.deliver(from, to, ask, way);
     }
 
-    fn deliver(&mut self, from: usize, to: usize, ask: Ask, way: Way) {
+    fn deliver(&mut self, from: usize, to: usize, ask: TokenRequest, way: Way) {
         if matches!(way, Way::Neither) {
             return;
         }
         self.last = Some(ask.clone());
-        self.holders[to].asked(&ask, self.now);
+        self.holders[to].record_given_back(&ask, self.now);
         let allotted = self.holders[to].allot(&ask, self.now);
         if let (Ok(allotted), Way::Both) = (allotted, way) {
-            self.holders[from].allotted(&budget(), allotted, self.now);
+            self.holders[from].record_allotted(&budget(), allotted, self.now);
         }
     }
 
     fn borrow(&mut self, from: usize, lender: usize, want: Tokens, way: Way) {
         let peer = self.holders[lender].incarnation();
-        let mut ask = self.holders[from].ask(&budget(), Some(peer), 0, &terms(), self.now);
+        let mut ask =
+            self.holders[from].token_request(&budget(), Some(peer), 0, &terms(), self.now);
         ask.want = want;
         if matches!(way, Way::Neither) {
             return;
         }
         let lent = self.holders[lender].lend(&ask);
         if matches!(way, Way::Both) {
-            self.holders[from].lent(&budget(), lent);
+            self.holders[from].record_loan(&budget(), lent);
         }
     }
 
@@ -104,7 +105,7 @@
             Step::Borrow { .. } => {}
             Step::GiveBack { from, way } if from != OWNER => {
                 let owner = self.holders[OWNER].incarnation();
-                self.holders[from].give_back_surplus(&budget(), owner, &terms(), self.now);
+                self.holders[from].return_surplus_to_owner(&budget(), owner, &terms(), self.now);
                 self.ask(from, OWNER, 0, way);
             }
             Step::GiveBack { .. } => {}
@@ -121,7 +122,7 @@
             Step::Repeat => {
                 // An old message comes once more, to the owner of now.
                 if let Some(ask) = self.last.clone() {
-                    self.holders[OWNER].asked(&ask, self.now);
+                    self.holders[OWNER].record_given_back(&ask, self.now);
                 }
             }
             Step::Restart { at } if at != OWNER => {
@@ -200,17 +201,18 @@
     let outlook = Some(Outlook { share: 5 * TOTAL, ..whole_is_left() });
     let nothing = Allotted { owner: Incarnation(1), cumulative: 0, outlook };
     let mut owner = Holder::new(Incarnation(1));
-    owner.known(&budget(), whole_is_left(), 0);
-    world.holders[1].allotted(&budget(), nothing, 0);
+    owner.set_outlook(&budget(), whole_is_left(), 0);
+    world.holders[1].record_allotted(&budget(), nothing, 0);
     world.ask(1, OWNER, 400, Way::Both);
     world.step(Step::Reserve { at: 1, tokens: 400 });
-    let ask = world.holders[1].ask(&budget(), Some(Incarnation(1)), 0, &terms(), world.now);
+    let ask =
+        world.holders[1].token_request(&budget(), Some(Incarnation(1)), 0, &terms(), world.now);
     assert!(ask.want > 0);
     owner.allot(&ask, world.now).expect("nothing was needed at once");
-    assert!(owner.owes(&budget()));
+    assert!(owner.has_unmet(&budget()));
     let draw = owner.draw(&budget(), 0, terms(), "127.0.0.1:1", world.now);
     assert!(draw.want >= ask.want / 2, "{} of {}", draw.want, ask.want);
-    assert!(!owner.owes(&budget()));
+    assert!(!owner.has_unmet(&budget()));
 }
 
 #[test]
@@ -224,18 +226,18 @@
 #[test]
 fn what_arrives_after_the_end_of_a_holder_is_nobodys() {
     let mut holder = Holder::new(Incarnation(1));
-    holder.granted(&budget(), 500);
-    holder.opened(&budget(), 500);
+    holder.record_granted(&budget(), 500);
+    holder.record_opened(&budget(), 500);
     assert_eq!(holder.retire(&budget()), 0);
     // The answer of a draw that was written before: the store has taken it back.
-    holder.granted(&budget(), 900);
-    holder.opened(&budget(), 900);
+    holder.record_granted(&budget(), 900);
+    holder.record_opened(&budget(), 900);
     assert!(holder.reserve(&budget(), 1, 0).is_err());
     let mut peer = Holder::new(Incarnation(2));
-    let mut ask = peer.ask(&budget(), Some(Incarnation(1)), 0, &terms(), 0);
+    let mut ask = peer.token_request(&budget(), Some(Incarnation(1)), 0, &terms(), 0);
     ask.want = 300;
     assert_eq!(holder.lend(&ask).cumulative, 0);
-    assert!(holder.allot(&Ask { need: 100, ..ask }, 0).is_err());
+    assert!(holder.allot(&TokenRequest { need: 100, ..ask }, 0).is_err());
 }
 
 #[test]
@@ -244,8 +246,8 @@
     world.ask(1, OWNER, 400, Way::Both);
     let (from, to) = (world.holders[1].incarnation(), world.holders[2].incarnation());
     for _ in 0..3 {
-        let sum = world.holders[1].hand_over(&budget(), to);
-        world.holders[2].received(&budget(), from, sum);
+        let sum = world.holders[1].transfer_all(&budget(), to);
+        world.holders[2].record_received(&budget(), from, sum);
     }
     assert_eq!(world.holders[1].free(&budget()), 0);
     assert_eq!(world.holders[2].free(&budget()), 400);
@@ -257,12 +259,12 @@
 #[test]
 fn an_owner_that_does_not_know_what_is_left_says_so() {
     let (mut owner, mut asker) = (Holder::new(Incarnation(1)), Holder::new(Incarnation(2)));
-    owner.granted(&budget(), 100);
-    owner.opened(&budget(), 100);
-    let ask = asker.ask(&budget(), Some(Incarnation(1)), 40, &terms(), 0);
+    owner.record_granted(&budget(), 100);
+    owner.record_opened(&budget(), 100);
+    let ask = asker.token_request(&budget(), Some(Incarnation(1)), 40, &terms(), 0);
     let allotted = owner.allot(&ask, 0).expect("it holds enough");
     assert_eq!((allotted.cumulative, allotted.outlook), (40, None));
-    owner.known(&budget(), whole_is_left(), 0);
+    owner.set_outlook(&budget(), whole_is_left(), 0);
     let told = owner.allot(&ask, 0).expect("it holds enough").outlook;
     assert_eq!(told.map(|outlook| outlook.left), Some(TOTAL + 60));
 }
--- a/crates/core/tests/common/direct.rs
+++ b/crates/core/tests/common/direct.rs
@@ -1,6 +1,6 @@
 //! Daemons that write the shard of one budget by themselves, before a store in memory.
 
-use bankcove_core::holder::{Draw, Holder, Reservation, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, Reservation};
 use bankcove_core::owner::{Command, Event, Owner, Reply, Request};
 use bankcove_core::shard::{Ledger, Shard};
 use bankcove_core::{Incarnation, Millis, Tokens};
@@ -34,14 +34,14 @@
     /// Whether the time that a call takes passes for all, or calls run side by side.
     pub calls_take_time: bool,
     /// Terms of the budget's row.
-    pub terms: Terms,
+    pub terms: DrawTerms,
     stored: (u64, Shard),
     starts: u64,
 }
 
 impl World {
     /// As many daemons as `terms` say, that hold nothing yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: DrawTerms) -> Self {
         let (stored, daemons) = ((0, Shard::default()), Vec::new());
         let mut world = World { now: 0, daemons, calls_take_time: true, terms, stored, starts: 0 };
         for n in 0..terms.daemons as usize {
@@ -122,10 +122,12 @@
         let reply = self.ask(owner, Request::Draw(draw.clone()), fate);
         let holder = &mut self.daemons[n].holder;
         if let Reply::Granted { granted, opened, outlook, earlier_start, .. } = reply {
-            outlook.into_iter().for_each(|outlook| holder.known(&budget(), outlook, self.now));
-            holder.told_earlier_start(&budget(), earlier_start);
-            holder.granted(&budget(), granted);
-            holder.opened(&budget(), opened);
+            outlook
+                .into_iter()
+                .for_each(|outlook| holder.set_outlook(&budget(), outlook, self.now));
+            holder.set_earlier_start(&budget(), earlier_start);
+            holder.record_granted(&budget(), granted);
+            holder.record_opened(&budget(), opened);
         }
         draw
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use bankcove_core::holder::{Draw, Holder, Keeps, Reservation, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope, Reservation};
 use bankcove_core::owner::{Command, Event, HolderRef, Owner, Reply, Request, WRITE_INTERVAL_MS};
 use bankcove_core::shard::Shard;
 use bankcove_core::witness::{Marks, Witness};
@@ -21,15 +21,15 @@
 }
 
 /// Terms of a row of so many tokens, shared by so many daemons.
-pub fn terms(tokens: Tokens, daemons: u64) -> Terms {
-    Terms {
+pub fn terms(tokens: Tokens, daemons: u64) -> DrawTerms {
+    DrawTerms {
         tokens,
         version: 1,
         horizon_s: 10.0,
         share_divisor: 4,
         held_ahead: 0.1,
         kept_for_others: 0.0,
-        keeps: Keeps::ForItself,
+        prefetch: PrefetchScope::ForItself,
         daemons,
     }
 }
@@ -78,14 +78,14 @@
     }
 
     pub fn draw(&mut self, holder: usize, need: Tokens) -> Draw {
-        let terms = Terms {
+        let terms = DrawTerms {
             tokens: self.tokens,
             version: 1,
             horizon_s: 10.0,
             share_divisor: 4,
             held_ahead: 0.25,
             kept_for_others: 0.0,
-            keeps: Keeps::ForItself,
+            prefetch: PrefetchScope::ForItself,
             daemons: self.holders.len() as u64,
         };
         let witnesses = self.witnesses(holder);
@@ -107,7 +107,7 @@
 
     /// Opens more of a grant by the witnesses' word.
     pub fn open(&mut self, holder: usize, tokens: Tokens) -> bool {
-        let Some(opening) = self.holders[holder].opening(&budget(), tokens, self.now) else {
+        let Some(opening) = self.holders[holder].next_opening(&budget(), tokens, self.now) else {
             return false;
         };
         let me = Incarnation(holder as u64);
@@ -115,7 +115,7 @@
             let n = witness.incarnation.0 as usize;
             !self.dead[n] && self.marks[n].open(me, &budget(), opening.opened)
         });
-        agreed && self.holders[holder].opening_agreed(&budget(), &opening)
+        agreed && self.holders[holder].confirm_opening(&budget(), &opening)
     }
 
     /// What a holder may spend of its grant, by its own books.
@@ -199,8 +199,8 @@
                     Command::Reply(_, reply) => return self.take_reply(&request, reply),
                     Command::Give { own, draw, most, reply, .. } => {
                         if let Some((granted, opened)) = own {
-                            self.holders[owner].granted(&budget(), granted);
-                            self.holders[owner].opened(&budget(), opened);
+                            self.holders[owner].record_granted(&budget(), granted);
+                            self.holders[owner].record_opened(&budget(), opened);
                         }
                         return self.give(owner, &draw, most, reply);
                     }
@@ -247,8 +247,8 @@
             self.open(holder, Tokens::MAX);
             let sender = Incarnation(holder as u64);
             let received = self.holders[owner].received_from(&budget, sender);
-            let sent = self.holders[holder].give(&budget, me, received, Tokens::MAX);
-            self.holders[owner].received(&budget, sender, sent);
+            let sent = self.holders[holder].transfer(&budget, me, received, Tokens::MAX);
+            self.holders[owner].record_received(&budget, sender, sent);
         }
         let free = self.holders[owner].free(&budget);
         Event::Gathered { budget, free, more_may_come: false }
@@ -261,11 +261,11 @@
         }
         if holder != owner {
             let from = &mut self.holders[owner];
-            if !from.can_give(&draw.budget, draw.holder, draw.received, draw.need) {
+            if !from.can_transfer(&draw.budget, draw.holder, draw.received, draw.need) {
                 return Answer::Refused;
             }
-            let sent = from.give(&draw.budget, draw.holder, draw.received, most);
-            self.holders[holder].received(&draw.budget, Incarnation(owner as u64), sent);
+            let sent = from.transfer(&draw.budget, draw.holder, draw.received, most);
+            self.holders[holder].record_received(&draw.budget, Incarnation(owner as u64), sent);
         }
         self.take_reply(&Request::Draw(draw.clone()), reply)
     }
@@ -274,10 +274,10 @@
         match (request, reply) {
             (Request::Draw(draw), Reply::Granted { granted, opened, recorded, .. }) => {
                 let holder = &mut self.holders[draw.holder.0 as usize];
-                holder.granted(&draw.budget, granted);
-                holder.opened(&draw.budget, opened);
+                holder.record_granted(&draw.budget, granted);
+                holder.record_opened(&draw.budget, opened);
                 if recorded {
-                    holder.witnesses_recorded(&draw.budget, &draw.witnesses);
+                    holder.set_recorded_witnesses(&draw.budget, &draw.witnesses);
                 }
                 Answer::Granted
             }
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::{LEFT_PER_HELD, Reservation};
+use bankcove_core::holder::{LEFT_TO_HELD_RATIO, Reservation};
 use bankcove_core::owner::Request;
 use common::budget;
 use common::direct::{Fate, World as Fleet};
@@ -56,7 +56,7 @@
             Step::GiveBack(n, fate) => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
-                self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
+                self.fleet.daemons[n].holder.return_surplus_to_store(&budget(), &terms, now);
                 self.fleet.draw(n, 0, fate);
             }
             Step::Kill(n) => {
@@ -155,7 +155,7 @@
     let free: Tokens = world.fleet.daemons.iter().map(|daemon| daemon.holder.free(&budget())).sum();
     let left = world.fleet.ledger().available();
     // A draw may have been made when more was left than is now.
-    assert!(free <= left, "{free} held, {left} left, {LEFT_PER_HELD} asked");
+    assert!(free <= left, "{free} held, {left} left, {LEFT_TO_HELD_RATIO} asked");
 }
 
 #[test]
--- a/crates/core/tests/holder.rs
+++ b/crates/core/tests/holder.rs
@@ -15,8 +15,8 @@
 /// A holder with this grant, all of it sealed, and one recorded witness.
 fn sealed(tokens: u64) -> Holder {
     let mut holder = Holder::new(Incarnation(1));
-    holder.granted(&budget(), tokens);
-    holder.witnesses_recorded(&budget(), &[witness(2)]);
+    holder.record_granted(&budget(), tokens);
+    holder.set_recorded_witnesses(&budget(), &[witness(2)]);
     holder
 }
 
@@ -24,8 +24,8 @@
 fn what_is_sealed_is_not_spent() {
     let mut holder = sealed(100);
     assert!(holder.reserve(&budget(), 1, 0).is_err());
-    let opening = holder.opening(&budget(), 10, 0).expect("there is a witness");
-    assert!(holder.opening_agreed(&budget(), &opening));
+    let opening = holder.next_opening(&budget(), 10, 0).expect("there is a witness");
+    assert!(holder.confirm_opening(&budget(), &opening));
     assert!(holder.reserve(&budget(), 11, 0).is_err());
     assert!(holder.reserve(&budget(), 10, 0).is_ok());
 }
@@ -33,33 +33,33 @@
 #[test]
 fn an_opening_that_a_new_witness_has_not_seen_does_not_count() {
     let mut holder = sealed(100);
-    let opening = holder.opening(&budget(), 10, 0).expect("there is a witness");
+    let opening = holder.next_opening(&budget(), 10, 0).expect("there is a witness");
     // A draw that names another witness overtakes the agreement of the first.
     holder.propose_witnesses(&budget(), &[witness(3)]);
-    assert!(!holder.opening_agreed(&budget(), &opening));
+    assert!(!holder.confirm_opening(&budget(), &opening));
     assert!(holder.reserve(&budget(), 1, 0).is_err());
-    let opening = holder.opening(&budget(), 10, 0).expect("there are witnesses");
+    let opening = holder.next_opening(&budget(), 10, 0).expect("there are witnesses");
     assert_eq!(opening.witnesses, [witness(2), witness(3)]);
 }
 
 #[test]
 fn a_lost_transfer_is_healed_by_asking_again() {
     let (mut from, mut to) = (Holder::new(Incarnation(1)), Holder::new(Incarnation(2)));
-    from.granted(&budget(), 100);
-    from.opened(&budget(), 100);
-    let lost = from.give(&budget(), Incarnation(2), 0, 60);
-    let again = from.give(&budget(), Incarnation(2), 0, 60);
+    from.record_granted(&budget(), 100);
+    from.record_opened(&budget(), 100);
+    let lost = from.transfer(&budget(), Incarnation(2), 0, 60);
+    let again = from.transfer(&budget(), Incarnation(2), 0, 60);
     assert_eq!((lost, again, from.free(&budget())), (60, 60, 40));
-    to.received(&budget(), Incarnation(1), again);
-    to.received(&budget(), Incarnation(1), lost);
+    to.record_received(&budget(), Incarnation(1), again);
+    to.record_received(&budget(), Incarnation(1), lost);
     assert_eq!(to.free(&budget()), 60);
 }
 
 #[test]
 fn more_than_was_reserved_can_not_be_spent() {
     let mut holder = Holder::new(Incarnation(1));
-    holder.granted(&budget(), 100);
-    holder.opened(&budget(), 100);
+    holder.record_granted(&budget(), 100);
+    holder.record_opened(&budget(), 100);
     let reservation = holder.reserve(&budget(), 30, 0).expect("there is enough");
     holder.settle(reservation, 1_000);
     assert_eq!((holder.accounts()[&budget()].spent, holder.free(&budget())), (30, 70));
@@ -80,14 +80,14 @@
     let (lender, me) = (Incarnation(2), Incarnation(1));
     let mut holder = Holder::new(me);
     let (main, other) = (budget(), Name::from("other"));
-    holder.granted(&main, 100);
-    holder.opened(&main, 90);
-    holder.received(&other, lender, 50);
+    holder.record_granted(&main, 100);
+    holder.record_opened(&main, 90);
+    holder.record_received(&other, lender, 50);
     let runs = holder.reserve(&main, 30, 1_000).expect("there is enough");
     let ended = holder.reserve(&main, 20, 3_000).expect("there is enough");
     let _runs_too = holder.reserve(&other, 7, 5_000).expect("there is enough");
     holder.settle(ended, 15);
-    holder.give(&other, lender, 0, 3);
+    holder.transfer(&other, lender, 0, 3);
     let held = holder.holdings();
     assert_eq!((held.granted, held.received, held.returned, held.sent), (100, 50, 0, 3));
     assert_eq!((held.spent, held.reserved, held.free, held.sealed), (15, 37, 85, 10));
@@ -96,7 +96,7 @@
     assert_eq!(came, went + held.reserved + held.free + held.sealed);
     // They began at 1 s and at 5 s.
     assert_eq!((held.running.count, held.running.mean_age(9_000)), (2, 6_000));
-    let most: Vec<String> = holder.most_held(1).iter().map(ToString::to_string).collect();
+    let most: Vec<String> = holder.largest_holdings(1).iter().map(ToString::to_string).collect();
     assert_eq!(most, ["main 55+30"]);
     holder.settle(runs, 30);
     assert_eq!(holder.holdings().running.mean_age(9_000), 4_000);
--- a/crates/core/tests/kept_for_the_fleet.rs
+++ b/crates/core/tests/owner_prefetch.rs
@@ -9,7 +9,7 @@
 
 use std::collections::HashMap;
 
-use bankcove_core::holder::{Holder, Keeps, Outlook, Reservation, Terms};
+use bankcove_core::holder::{DrawTerms, Holder, Outlook, PrefetchScope, Reservation};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
 const DAEMONS: usize = 240;
@@ -70,20 +70,20 @@
         n * 5 + 1
     }
 
-    fn terms(&self, daemon: usize, n: usize) -> Terms {
-        let keeps = match (self.keeps_for_fleet, daemon == Fleet::owner(n)) {
-            (false, _) => Keeps::ForItself,
-            (true, true) => Keeps::ForFleet,
-            (true, false) => Keeps::LeftToOwner,
+    fn terms(&self, daemon: usize, n: usize) -> DrawTerms {
+        let prefetch = match (self.keeps_for_fleet, daemon == Fleet::owner(n)) {
+            (false, _) => PrefetchScope::ForItself,
+            (true, true) => PrefetchScope::ForFleet,
+            (true, false) => PrefetchScope::LeftToOwner,
         };
-        Terms {
+        DrawTerms {
             tokens: total(n),
             version: 1,
             horizon_s: 11.0,
             share_divisor: 4,
             held_ahead: 0.0,
             kept_for_others: 0.0,
-            keeps,
+            prefetch,
             daemons: DAEMONS as u64,
         }
     }
@@ -96,10 +96,10 @@
         let draw = holder.draw(&budget(n), need, terms, "owner", now);
         let more = draw.want.min(self.left[n] / 2).max(draw.need).min(self.left[n]);
         self.left[n] -= more;
-        holder.granted(&budget(n), draw.known_granted + more);
-        holder.opened(&budget(n), draw.known_granted + more);
+        holder.record_granted(&budget(n), draw.known_granted + more);
+        holder.record_opened(&budget(n), draw.known_granted + more);
         let share = self.left[n] / 2;
-        holder.known(&budget(n), Outlook { share, left: self.left[n] }, now);
+        holder.set_outlook(&budget(n), Outlook { share, left: self.left[n] }, now);
     }
 
     /// Asks the owner of a budget for `need` and some ahead.
@@ -114,8 +114,8 @@
         self.asks += 1;
         let terms = self.terms(daemon, n);
         let start = Some(self.holders[owner].incarnation());
-        let ask = self.holders[daemon].ask(&budget(n), start, need, &terms, now);
-        self.holders[owner].asked(&ask, now);
+        let ask = self.holders[daemon].token_request(&budget(n), start, need, &terms, now);
+        self.holders[owner].record_given_back(&ask, now);
         let mut allotted = self.holders[owner].allot(&ask, now);
         if let Err(short) = allotted
             && now < STORE_AWAY_AT_MS
@@ -124,7 +124,7 @@
             allotted = self.holders[owner].allot(&ask, now);
         }
         if let Ok(allotted) = allotted {
-            self.holders[daemon].allotted(&budget(n), allotted, now);
+            self.holders[daemon].record_allotted(&budget(n), allotted, now);
         }
     }
 
@@ -158,8 +158,9 @@
                 let owner = Fleet::owner(n);
                 let start = self.holders[owner].incarnation();
                 let back = daemon != owner
-                    && self.holders[daemon].give_back_surplus(&budget(n), start, &terms, now) > 0;
-                if back || self.holders[daemon].runs_low(&budget(n), &terms, now) {
+                    && self.holders[daemon].return_surplus_to_owner(&budget(n), start, &terms, now)
+                        > 0;
+                if back || self.holders[daemon].is_low(&budget(n), &terms, now) {
                     self.ask(daemon, n, 0, now);
                 }
             }
--- a/crates/core/tests/owners_draws.rs
+++ b/crates/core/tests/owners_draws.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::{Draw, Keeps, Reservation, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, PrefetchScope, Reservation};
 use bankcove_core::owner::Request;
 use common::budget;
 use common::direct::{Fate, World as Fleet};
@@ -31,7 +31,8 @@
 
 impl World {
     fn new() -> Self {
-        let terms = Terms { keeps: Keeps::ForFleet, ..common::terms(TOTAL, DAEMONS as u64) };
+        let terms =
+            DrawTerms { prefetch: PrefetchScope::ForFleet, ..common::terms(TOTAL, DAEMONS as u64) };
         World { fleet: Fleet::new(terms), gone: 0, draws: Vec::new() }
     }
 
@@ -59,7 +60,7 @@
             Step::GiveBack { n, owner } => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
-                self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
+                self.fleet.daemons[n].holder.return_surplus_to_store(&budget(), &terms, now);
                 self.draw(n, owner, 0, Fate::Done);
             }
             Step::Kill { n } => {
@@ -147,6 +148,6 @@
     }
     let ledger = world.fleet.ledger();
     let me = world.fleet.daemons[0].holder.incarnation();
-    let itself = Terms { keeps: Keeps::ForItself, ..world.fleet.terms };
+    let itself = DrawTerms { prefetch: PrefetchScope::ForItself, ..world.fleet.terms };
     assert!(ledger.share(me, &world.fleet.terms) >= 2 * ledger.share(me, &itself));
 }
--- a/crates/core/tests/owners_ration.rs
+++ b/crates/core/tests/owners_ration.rs
@@ -7,7 +7,9 @@
 //! 0.39 and 0.49 of the callers from 15 s after the return on were served, rationed 0.60
 //! and 0.66; a quarter is asked.
 
-use bankcove_core::holder::{Ask, Holder, Keeps, Outlook, Terms, Wish};
+use bankcove_core::holder::{
+    DrawTerms, Holder, Outlook, PrefetchScope, RequestDemand, TokenRequest,
+};
 use bankcove_core::{Incarnation, Millis, Tokens};
 
 mod common;
@@ -22,32 +24,36 @@
 const PAUSE_MS: Millis = 10;
 const REQUESTS: [(Tokens, u32); 4] = [(12_000, 0), (1_100, 1), (2_400, 2), (1_100, 1)];
 
-fn terms() -> Terms {
-    Terms { keeps: Keeps::LeftToOwner, held_ahead: 0.0, ..common::terms(10 * LEFT, 295) }
+fn terms() -> DrawTerms {
+    DrawTerms {
+        prefetch: PrefetchScope::LeftToOwner,
+        held_ahead: 0.0,
+        ..common::terms(10 * LEFT, 295)
+    }
 }
 
 /// An owner that has handed on much for 10 s before, and has all that is left.
 fn owner(store_away: bool) -> Holder {
     let mut owner = Holder::new(OWNER);
     let plenty = 1_000_000_000;
-    owner.granted(&budget(), plenty);
-    owner.opened(&budget(), plenty);
+    owner.record_granted(&budget(), plenty);
+    owner.record_opened(&budget(), plenty);
     for n in 0..1_000 {
         let (tokens, _) = REQUESTS[n as usize % REQUESTS.len()];
         let ask = ask(n, tokens, None, n * PAUSE_MS);
         owner.allot(&ask, n * PAUSE_MS).expect("there is plenty");
     }
     let spent = owner.free(&budget()) - LEFT;
-    owner.give(&budget(), Incarnation(9), 0, spent);
+    owner.transfer(&budget(), Incarnation(9), 0, spent);
     // While the store is away what it has left does not help.
     let left = if store_away { plenty } else { 0 };
-    owner.known(&budget(), Outlook { share: 0, left }, 10_000);
+    owner.set_outlook(&budget(), Outlook { share: 0, left }, 10_000);
     owner
 }
 
-fn ask(asker: u64, tokens: Tokens, wish: Option<Wish>, now: Millis) -> Ask {
+fn ask(asker: u64, tokens: Tokens, demand: Option<RequestDemand>, now: Millis) -> TokenRequest {
     let mut holder = Holder::new(Incarnation(100 + asker));
-    Ask { wish, ..holder.ask(&budget(), Some(OWNER), tokens, &terms(), now) }
+    TokenRequest { demand, ..holder.token_request(&budget(), Some(OWNER), tokens, &terms(), now) }
 }
 
 /// Parts of the callers of each rank that are served, from 6 s after the loss on.
@@ -57,9 +63,9 @@
     for (n, at) in (0..LASTS_MS).step_by(PAUSE_MS as usize).enumerate() {
         let now = 10_000 + at;
         let (tokens, rank) = REQUESTS[n % REQUESTS.len()];
-        let wish = Wish { tokens, rank, ration_s: RATION_S };
-        let ask = ask(10_000 + n as u64, tokens, Some(wish), now);
-        let ration = owner.ration_of(&budget(), &wish, store_away, now);
+        let demand = RequestDemand { tokens, rank, ration_s: RATION_S };
+        let ask = ask(10_000 + n as u64, tokens, Some(demand), now);
+        let ration = owner.ration_for(&budget(), &demand, store_away, now);
         let is_let_in = !is_rationed || tokens <= ration;
         let is_served = is_let_in && owner.allot(&ask, now).is_ok();
         if at >= 6_000 {
@@ -92,14 +98,14 @@
 #[test]
 fn with_plenty_left_nothing_is_rationed() {
     let mut owner = owner(false);
-    owner.known(&budget(), Outlook { share: 0, left: 100 * LEFT }, 10_000);
-    let wish = Wish { tokens: 40_000, rank: 2, ration_s: RATION_S };
-    assert!(owner.ration_of(&budget(), &wish, false, 10_000) > wish.tokens);
+    owner.set_outlook(&budget(), Outlook { share: 0, left: 100 * LEFT }, 10_000);
+    let demand = RequestDemand { tokens: 40_000, rank: 2, ration_s: RATION_S };
+    assert!(owner.ration_for(&budget(), &demand, false, 10_000) > demand.tokens);
 }
 
 #[test]
 fn an_owner_that_does_not_know_what_is_left_rations_nothing() {
     let owner = Holder::new(OWNER);
-    let wish = Wish { tokens: 40_000, rank: 0, ration_s: RATION_S };
-    assert_eq!(owner.ration_of(&budget(), &wish, false, 0), Tokens::MAX);
+    let demand = RequestDemand { tokens: 40_000, rank: 0, ration_s: RATION_S };
+    assert_eq!(owner.ration_for(&budget(), &demand, false, 0), Tokens::MAX);
 }
--- a/crates/core/tests/owners_reserve.rs
+++ b/crates/core/tests/owners_reserve.rs
@@ -7,7 +7,7 @@
 
 mod common;
 
-use bankcove_core::holder::{Ask, Holder, Outlook, Terms};
+use bankcove_core::holder::{DrawTerms, Holder, Outlook, TokenRequest};
 use bankcove_core::{Incarnation, Millis, Tokens};
 use common::budget;
 
@@ -21,22 +21,22 @@
 /// A fifth of the half that all may hold.
 const KEPT: Tokens = TOTAL / 10;
 
-fn terms() -> Terms {
-    Terms { held_ahead: 0.0, kept_for_others: 0.2, ..common::terms(TOTAL, 80) }
+fn terms() -> DrawTerms {
+    DrawTerms { held_ahead: 0.0, kept_for_others: 0.2, ..common::terms(TOTAL, 80) }
 }
 
 fn owner_with(tokens: Tokens) -> Holder {
     let mut owner = Holder::new(OWNER);
-    owner.granted(&budget(), tokens);
-    owner.opened(&budget(), tokens);
-    owner.known(&budget(), Outlook { share: 0, left: TOTAL }, 0);
+    owner.record_granted(&budget(), tokens);
+    owner.record_opened(&budget(), tokens);
+    owner.set_outlook(&budget(), Outlook { share: 0, left: TOTAL }, 0);
     owner
 }
 
-fn ask(need: Tokens, want: Tokens) -> Ask {
+fn ask(need: Tokens, want: Tokens) -> TokenRequest {
     let budget = budget();
     let (owner, rate) = (Some(OWNER), 10 * need);
-    Ask {
+    TokenRequest {
         budget,
         holder: ASKER,
         owner,
@@ -44,7 +44,7 @@
         given_back: 0,
         free: 0,
         need,
-        wish: None,
+        demand: None,
         want,
         rate,
     }
@@ -52,32 +52,32 @@
 
 #[test]
 fn an_owner_draws_for_others_before_anybody_comes() {
-    assert!(Holder::new(OWNER).runs_low(&budget(), &terms(), 0));
-    assert!(owner_with(1).runs_low(&budget(), &terms(), 0));
-    assert!(!owner_with(KEPT).runs_low(&budget(), &terms(), 0));
+    assert!(Holder::new(OWNER).is_low(&budget(), &terms(), 0));
+    assert!(owner_with(1).is_low(&budget(), &terms(), 0));
+    assert!(!owner_with(KEPT).is_low(&budget(), &terms(), 0));
 }
 
 #[test]
 fn it_gives_nothing_of_that_back_before_spending_is_known() {
     let mut owner = owner_with(KEPT);
-    assert_eq!(owner.return_surplus(&budget(), &terms(), 0), 0);
+    assert_eq!(owner.return_surplus_to_store(&budget(), &terms(), 0), 0);
     let first = owner.reserve(&budget(), 10, 0).expect("there is enough");
     owner.settle(first, 10);
-    assert_eq!(owner.return_surplus(&budget(), &terms(), 1), 0);
-    assert!(owner.return_surplus(&budget(), &terms(), KNOWN_MS) > KEPT / 2);
+    assert_eq!(owner.return_surplus_to_store(&budget(), &terms(), 1), 0);
+    assert!(owner.return_surplus_to_store(&budget(), &terms(), KNOWN_MS) > KEPT / 2);
 }
 
 #[test]
 fn what_is_kept_serves_needs_and_no_wishes_ahead() {
     let mut owner = owner_with(KEPT);
-    owner.return_surplus(&budget(), &terms(), 0);
+    owner.return_surplus_to_store(&budget(), &terms(), 0);
     let allotted = owner.allot(&ask(100, KEPT), 0).expect("the need is free");
     assert_eq!(allotted.cumulative, 100);
 }
 
 #[test]
 fn who_owns_nothing_keeps_nothing_for_others() {
-    let other = Terms { kept_for_others: 0.0, ..terms() };
-    assert!(!owner_with(1).runs_low(&budget(), &other, 0));
-    assert!(owner_with(KEPT).return_surplus(&budget(), &other, 0) > KEPT / 2);
+    let other = DrawTerms { kept_for_others: 0.0, ..terms() };
+    assert!(!owner_with(1).is_low(&budget(), &other, 0));
+    assert!(owner_with(KEPT).return_surplus_to_store(&budget(), &other, 0) > KEPT / 2);
 }
--- a/crates/core/tests/ration.rs
+++ b/crates/core/tests/ration.rs
@@ -18,8 +18,8 @@
 fn spender() -> (Holder, Millis) {
     let mut holder = Holder::new(Incarnation(1));
     let end = 20_000;
-    holder.granted(&budget(), Tokens::MAX / 4);
-    holder.opened(&budget(), SIZE * end / PAUSE);
+    holder.record_granted(&budget(), Tokens::MAX / 4);
+    holder.record_opened(&budget(), SIZE * end / PAUSE);
     for now in (0..end).step_by(PAUSE as usize) {
         let reservation = holder.reserve(&budget(), SIZE, now).expect("it is open");
         holder.settle(reservation, SIZE);
@@ -30,7 +30,7 @@
 /// The same, which was told now that `left` tokens are left.
 fn holder_before(left: Tokens) -> (Holder, Millis) {
     let (mut holder, now) = spender();
-    holder.known(&budget(), Outlook { share: 0, left }, now);
+    holder.set_outlook(&budget(), Outlook { share: 0, left }, now);
     (holder, now)
 }
 
@@ -38,14 +38,14 @@
 fn without_word_of_a_budget_nothing_is_rationed() {
     let mut holder = Holder::new(Incarnation(1));
     assert_eq!(holder.ration(&budget(), RATION_S, 0, 0), Tokens::MAX);
-    holder.granted(&budget(), 100);
+    holder.record_granted(&budget(), 100);
     assert_eq!(holder.ration(&budget(), RATION_S, 0, 0), Tokens::MAX);
 }
 
 #[test]
 fn a_lone_caller_may_take_all_that_is_left() {
     let mut holder = Holder::new(Incarnation(1));
-    holder.known(&budget(), Outlook { share: 0, left: 50_000 }, 0);
+    holder.set_outlook(&budget(), Outlook { share: 0, left: 50_000 }, 0);
     assert_eq!(holder.ration(&budget(), RATION_S, 3, 0), 50_000);
 }
 
@@ -73,10 +73,10 @@
     let mut left = 1_000_000;
     for second in 1..=10 {
         left -= 9 * SIZE * 1_000 / PAUSE;
-        holder.known(&budget(), Outlook { share: 0, left }, end + second * 1_000);
+        holder.set_outlook(&budget(), Outlook { share: 0, left }, end + second * 1_000);
     }
     // The same is left, by a first word of it.
-    alone.known(&budget(), Outlook { share: 0, left }, end + 10_000);
+    alone.set_outlook(&budget(), Outlook { share: 0, left }, end + 10_000);
     let part = |holder: &Holder| holder.ration(&budget(), RATION_S, 0, end + 10_000);
     assert!(part(&holder) * 2 < part(&alone), "{} and {}", part(&holder), part(&alone));
 }
@@ -85,7 +85,7 @@
 fn a_top_up_is_known_at_once() {
     let (mut holder, now) = holder_before(10_000);
     let before = holder.ration(&budget(), RATION_S, 0, now);
-    holder.known(&budget(), Outlook { share: 0, left: 10_000_000 }, now + 1);
+    holder.set_outlook(&budget(), Outlook { share: 0, left: 10_000_000 }, now + 1);
     assert!(holder.ration(&budget(), RATION_S, 0, now + 1) > before * 900);
     assert_eq!(holder.outlook_age(&budget(), now + 501), Some(500));
 }
@@ -96,11 +96,11 @@
     let (mut holder, end) = holder_before(left);
     for second in 1..=10 {
         let now = end + second * 1_000;
-        holder.known(&budget(), Outlook { share: 0, left: left / 2 }, now);
-        holder.known(&budget(), Outlook { share: 0, left }, now + 500);
+        holder.set_outlook(&budget(), Outlook { share: 0, left: left / 2 }, now);
+        holder.set_outlook(&budget(), Outlook { share: 0, left }, now + 500);
     }
     let (mut still, _) = spender();
-    still.known(&budget(), Outlook { share: 0, left }, end);
+    still.set_outlook(&budget(), Outlook { share: 0, left }, end);
     let part = |holder: &Holder| holder.ration(&budget(), RATION_S, 0, end + 10_500);
     assert_eq!(part(&holder), part(&still));
 }
@@ -111,8 +111,8 @@
     let (mut holder, end) = holder_before(100_000);
     let before = holder.ration(&budget(), RATION_S, 0, end);
     let other = "other".into();
-    holder.granted(&other, Tokens::MAX / 4);
-    holder.opened(&other, Tokens::MAX / 4);
+    holder.record_granted(&other, Tokens::MAX / 4);
+    holder.record_opened(&other, Tokens::MAX / 4);
     for _ in 0..200 {
         let reservation = holder.reserve(&other, 3 * SIZE, end).expect("it is open");
         holder.settle(reservation, SIZE);
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -18,7 +18,7 @@
 
 mod common;
 
-use bankcove_core::holder::{Reservation, Terms};
+use bankcove_core::holder::{DrawTerms, Reservation};
 use bankcove_core::{Millis, Tokens};
 use common::budget;
 use common::direct::{Fate, World};
@@ -77,7 +77,7 @@
 
 impl Day {
     fn new(seed: u64) -> Self {
-        let terms = Terms { tokens: DEMAND * LASTS_S, ..common::terms(0, DAEMONS) };
+        let terms = DrawTerms { tokens: DEMAND * LASTS_S, ..common::terms(0, DAEMONS) };
         let rng = StdRng::seed_from_u64(seed);
         let open = Vec::new();
         let mut world = World::new(terms);
@@ -136,8 +136,8 @@
         let (terms, now) = (self.world.terms, self.world.now);
         for n in 0..DAEMONS as usize {
             let holder = &mut self.world.daemons[n].holder;
-            let returned = holder.return_surplus(&budget(), &terms, now);
-            if returned > 0 || holder.runs_low(&budget(), &terms, now) {
+            let returned = holder.return_surplus_to_store(&budget(), &terms, now);
+            if returned > 0 || holder.is_low(&budget(), &terms, now) {
                 self.world.draw(n, 0, Fate::Done);
             }
         }
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bankcove_core::holder::{Holding, Statement};
+use bankcove_core::holder::{DaemonHolding, Statement};
 use bankcove_core::shard::{Grant, Ledger};
 use bankcove_core::{Incarnation, Name, Tokens};
 
@@ -25,9 +25,9 @@
     ledger
 }
 
-fn holding(n: u64, spent: Tokens, reserved: Tokens, held: Tokens) -> Holding {
+fn holding(n: u64, spent: Tokens, reserved: Tokens, held: Tokens) -> DaemonHolding {
     let (budget, daemon) = (Name::from("b"), Name::from(format!("entry-{n}")));
-    Holding { budget, daemon, incarnation: Incarnation(n), spent, reserved, held }
+    DaemonHolding { budget, daemon, incarnation: Incarnation(n), spent, reserved, held }
 }
 
 fn sum(statement: &Statement) -> i64 {
@@ -35,23 +35,26 @@
         + statement.spent
         + statement.reserved
         + statement.held
-        + statement.silent;
-    there as i64 + statement.ended + statement.on_the_way
+        + statement.unanswered;
+    there as i64 + statement.ended + statement.in_transit
 }
 
 #[test]
 fn what_is_spent_and_held_stands_apart() {
-    let statement = Statement::of(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 200)]);
+    let statement = Statement::new(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 200)]);
     assert_eq!((statement.spent, statement.reserved, statement.held), (30, 20, 500));
-    assert_eq!((statement.not_granted, statement.on_the_way, statement.elsewhere()), (450, 0, 20));
+    assert_eq!(
+        (statement.not_granted, statement.in_transit, statement.unaccounted()),
+        (450, 0, 20)
+    );
     assert_eq!(sum(&statement), 1_000);
 }
 
 #[test]
 fn tokens_on_their_way_are_neither_spent_nor_held() {
     // Half of what the second has was sent to the first and has not come.
-    let statement = Statement::of(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 100)]);
-    assert_eq!((statement.spent, statement.on_the_way), (30, 100));
+    let statement = Statement::new(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 100)]);
+    assert_eq!((statement.spent, statement.in_transit), (30, 100));
     assert_eq!(sum(&statement), 1_000);
 }
 
@@ -61,12 +64,12 @@
     ledger.retired = 70;
     ledger.retired_holders.push(Incarnation(9));
     let told = vec![holding(1, 30, 20, 300)];
-    let statement = Statement::of(&ledger, told);
-    assert_eq!((statement.silent, statement.ended, statement.on_the_way), (200, 70, 0));
+    let statement = Statement::new(&ledger, told);
+    assert_eq!((statement.unanswered, statement.ended, statement.in_transit), (200, 70, 0));
     assert_eq!(sum(&statement), 1_000);
     // One that still answers while it ends counts once.
     let told = vec![holding(1, 30, 20, 300), holding(9, 70, 0, 0)];
-    let statement = Statement::of(&ledger, told);
+    let statement = Statement::new(&ledger, told);
     assert_eq!((statement.spent, statement.ended), (100, 0));
     assert_eq!(sum(&statement), 1_000);
 }
--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use bankcove_core::holder::Wish;
+use bankcove_core::holder::RequestDemand;
 use bankcove_core::lifecycle::{Admitted, Attempt, NotRun, Received};
 use bankcove_core::reqlog::{Entry, Outcome};
 use bankcove_core::table::{Budget, Table, Workspace};
@@ -81,7 +81,7 @@
 
 fn workspace_of<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, Problem> {
     let shown = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let known = shown.and_then(|key| table.workspace_of_key(&hash_key(key.trim())));
+    let known = shown.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
     known.ok_or_else(|| {
         let message = "the request shows no key of any workspace; send 'Authorization: Bearer KEY'";
         Problem::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
@@ -118,8 +118,8 @@
     tokens: Tokens,
 ) -> Result<Attempt<Admitted>, (Refusal, Attempt<Received>)> {
     // Nothing is rationed here: requests of this interface have no ranks.
-    let wish = Wish { tokens, rank: 0, ration_s: 0.0 };
-    match reserve(&api.requests.budgets, &caller.budget, wish).await {
+    let demand = RequestDemand { tokens, rank: 0, ration_s: 0.0 };
+    match reserve(&api.requests.budgets, &caller.budget, demand).await {
         Ok(reservation) => Ok(attempt.admit(reservation)),
         Err(refusal) => Err((refusal, attempt)),
     }
--- a/crates/daemon/src/api/chat.rs
+++ b/crates/daemon/src/api/chat.rs
@@ -6,7 +6,7 @@
 use bankcove_core::Name;
 use bankcove_core::lifecycle::{Admitted, Attempt, Received};
 use bankcove_core::router::Homes;
-use bankcove_core::table::{RouteTarget, ServerKind, WhenShort};
+use bankcove_core::table::{RouteTarget, ServerKind, ShortagePolicy};
 use bankcove_core::{AttemptId, Millis, Tokens};
 use bytes::Bytes;
 use reqwest::Method;
@@ -109,7 +109,7 @@
     let body: Value = serde_json::from_slice(&bytes)
         .map_err(|e| Problem::bad_request("bad_json", format!("the body is no JSON: {e}")))?;
     let model = body["model"].as_str().unwrap_or_default().to_owned();
-    let Some(route) = caller.table.route_of_model(&model).cloned() else {
+    let Some(route) = caller.table.route_for_model(&model).cloned() else {
         let message = format!("no route serves model '{model}'; see GET /v1/models");
         return Err(Problem::refused(StatusCode::NOT_FOUND, "no_such_model", message));
     };
@@ -244,8 +244,8 @@
         Err(refused) => refused,
     };
     let exact = match budget.when_short {
-        WhenShort::Count => count(api, chat).await,
-        WhenShort::Refuse => None,
+        ShortagePolicy::Count => count(api, chat).await,
+        ShortagePolicy::Refuse => None,
     };
     let Some(exact) = exact.filter(|exact| *exact < bound) else {
         return Err(admission::short(api, &attempt.not_run(), budget, refusal));
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -99,7 +99,7 @@
 async fn read_call(api: &Api, id: AttemptId, req: &mut Request) -> Result<Call, Problem> {
     let caller = identify(api, req)?;
     let path = req.uri().path().to_owned();
-    let Some(route) = caller.table.route_of_path(&path).cloned() else {
+    let Some(route) = caller.table.route_for_path(&path).cloned() else {
         let message = format!("no route leads from '{path}'");
         return Err(Problem::refused(StatusCode::NOT_FOUND, "no_such_route", message));
     };
--- a/crates/daemon/src/budget/allotment.rs
+++ b/crates/daemon/src/budget/allotment.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::Ask;
+use bankcove_core::holder::TokenRequest;
 use bankcove_core::owner::RETRY_SOON_MS;
 
 use crate::budget::budgets::Budgets;
@@ -11,7 +11,7 @@
 use crate::peer::{AllotAnswer, Refusal};
 
 /// Hands tokens on to a daemon that takes this one for the owner.
-pub async fn allot(budgets: &Arc<Budgets>, ask: Ask) -> AllotAnswer {
+pub async fn allot(budgets: &Arc<Budgets>, ask: TokenRequest) -> AllotAnswer {
     let away = Refusal::out_of_reach(RETRY_SOON_MS);
     let table = budgets.table.load_full();
     let Some(budget) = table.as_ref().and_then(|table| table.budget(&ask.budget)) else {
@@ -21,7 +21,7 @@
         return AllotAnswer::Refused(away);
     }
     let arrived = budgets.fleet.base.clock.now();
-    budgets.holder().asked(&ask, arrived);
+    budgets.holder().record_given_back(&ask, arrived);
     if let Some(ration) = exceeded_ration(budgets, &ask) {
         return AllotAnswer::Refused(Refusal::rationed(ration));
     }
@@ -31,12 +31,12 @@
         Err(_) if budgets.fleet.contact.is_store_away(arrived) => {
             // Known to be hopeless here: the asker turns to the next owner at once, and
             // a peer that reaches the store draws for this one meanwhile.
-            budgets.holder().owe(&ask);
+            budgets.holder().record_unmet(&ask);
             Err(away)
         }
         Err(_) => {
             // The next draw serves all that wait by then, not one after the other.
-            budgets.holder().owe(&ask);
+            budgets.holder().record_unmet(&ask);
             obtain(budgets, budget, Source::Store, arrived, try_now).await
         }
     };
@@ -50,10 +50,10 @@
 /// What the request behind an ask may take of the rest of its budget, if that is less than
 /// it needs. Handed on by arrival, what was left after a loss of all daemons went to the
 /// large requests within seconds, and nobody else was served.
-fn exceeded_ration(budgets: &Budgets, ask: &Ask) -> Option<Tokens> {
-    let wish = ask.wish?;
+fn exceeded_ration(budgets: &Budgets, ask: &TokenRequest) -> Option<Tokens> {
+    let demand = ask.demand?;
     let now = budgets.fleet.base.clock.now();
     let is_away = budgets.fleet.contact.is_store_away(now);
-    let ration = budgets.holder().ration_of(&ask.budget, &wish, is_away, now);
-    (wish.tokens > ration).then_some(ration)
+    let ration = budgets.holder().ration_for(&ask.budget, &demand, is_away, now);
+    (demand.tokens > ration).then_some(ration)
 }
--- a/crates/daemon/src/budget/ask.rs
+++ b/crates/daemon/src/budget/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::{Ask, Wish};
+use bankcove_core::holder::{RequestDemand, TokenRequest};
 use bankcove_core::members::Peer;
 use bankcove_core::table::Budget;
 
@@ -12,13 +12,13 @@
 use crate::budget::terms::terms;
 use crate::peer::{AllotAnswer, PeerServiceClient, Refusal};
 
-/// Asks one peer for tokens, for the request that `wish` tells of or ahead; none when it
+/// Asks one peer for tokens, for the request that `demand` tells of or ahead; none when it
 /// does not answer, or has none and is cut off from the store itself.
 pub async fn ask_for_tokens(
     budgets: &Arc<Budgets>,
     budget: &Budget,
     need: Tokens,
-    wish: Option<Wish>,
+    demand: Option<RequestDemand>,
     owner: &Peer,
 ) -> Option<Result<(), Refusal>> {
     if budgets.fleet.contact.is_alone() {
@@ -26,8 +26,8 @@
     }
     let terms = terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
-    let ask = budgets.holder().ask(&budget.name, owner.incarnation, need, &terms, now);
-    let ask = Ask { wish, ..ask };
+    let ask = budgets.holder().token_request(&budget.name, owner.incarnation, need, &terms, now);
+    let ask = TokenRequest { demand, ..ask };
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     let call = |client: PeerServiceClient, cx| async move { client.allot(cx, ask).await };
     let answer = budgets.fleet.base.peers.call(&owner.address, timeout, call).await;
@@ -37,7 +37,7 @@
     match answer {
         Some(AllotAnswer::Allotted(allotted)) => {
             budgets.fleet.members.lock().answered(&owner.name, allotted.owner);
-            budgets.holder().allotted(&budget.name, allotted, now);
+            budgets.holder().record_allotted(&budget.name, allotted, now);
             Some(Ok(()))
         }
         Some(AllotAnswer::Refused(refusal)) if refusal.store_away => None,
--- a/crates/daemon/src/budget/borrow.rs
+++ b/crates/daemon/src/budget/borrow.rs
@@ -59,12 +59,12 @@
 ) -> Tokens {
     let terms = terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
-    let mut ask = budgets.holder().ask(&budget.name, peer.incarnation, 0, &terms, now);
+    let mut ask = budgets.holder().token_request(&budget.name, peer.incarnation, 0, &terms, now);
     ask.want = tokens;
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     let call = |client: PeerServiceClient, cx| async move { client.lend(cx, ask).await };
     match budgets.fleet.base.peers.call(&peer.address, timeout, call).await {
-        Some(lent) => budgets.holder().lent(&budget.name, lent),
+        Some(lent) => budgets.holder().record_loan(&budget.name, lent),
         None => {
             budgets.fleet.members.lock().failed(&peer.name);
             0
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -39,7 +39,7 @@
 /// word; false when nothing is sealed or they do not agree.
 pub async fn open(budgets: &Arc<Budgets>, budget: &Name, tokens: Tokens) -> bool {
     let now = budgets.fleet.base.clock.now();
-    let Some(opening) = budgets.holder().opening(budget, tokens, now) else {
+    let Some(opening) = budgets.holder().next_opening(budget, tokens, now) else {
         return false;
     };
     let (me, opened) = (budgets.fleet.base.incarnation, opening.opened);
@@ -52,7 +52,7 @@
         budgets.fleet.base.peers.call(&witness.address, timeout, ask)
     });
     let agreed = join_all(asks).await.into_iter().all(|agreed| agreed == Some(true));
-    agreed && budgets.holder().opening_agreed(budget, &opening)
+    agreed && budgets.holder().confirm_opening(budget, &opening)
 }
 
 /// Sends a peer what is free and what is sealed, as far as it can be opened.
@@ -67,7 +67,7 @@
         open(budgets, budget, Tokens::MAX).await;
     }
     let mut holder = budgets.holder();
-    let cumulative = holder.give(budget, receiver, received, most);
+    let cumulative = holder.transfer(budget, receiver, received, most);
     let more_later = holder.reserved(budget) + holder.sealed(budget);
     GiveAnswer::Sent { cumulative, reserved: more_later }
 }
@@ -135,7 +135,7 @@
     };
     match budgets.fleet.base.peers.call(&holder.address, timeout, ask).await {
         Some(GiveAnswer::Sent { cumulative, reserved }) => {
-            budgets.holder().received(budget, incarnation, cumulative);
+            budgets.holder().record_received(budget, incarnation, cumulative);
             reserved > 0
         }
         Some(GiveAnswer::OtherIncarnation) => {
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -43,18 +43,18 @@
     log_draw(budgets, budget, need, &answer.reply, now);
     let mut holder = budgets.holder();
     if let Some((owner, cumulative)) = answer.sent {
-        holder.received(&budget.name, owner, cumulative);
+        holder.record_received(&budget.name, owner, cumulative);
     }
     match answer.reply {
         Reply::Granted { granted, opened, recorded, outlook, earlier_start } => {
-            holder.told_earlier_start(&budget.name, earlier_start);
+            holder.set_earlier_start(&budget.name, earlier_start);
             if let Some(outlook) = outlook {
-                holder.known(&budget.name, outlook, now);
+                holder.set_outlook(&budget.name, outlook, now);
             }
-            holder.granted(&budget.name, granted);
-            holder.opened(&budget.name, opened);
+            holder.record_granted(&budget.name, granted);
+            holder.record_opened(&budget.name, opened);
             if recorded {
-                holder.witnesses_recorded(&budget.name, &witnesses);
+                holder.set_recorded_witnesses(&budget.name, &witnesses);
             }
             Ok(())
         }
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -40,7 +40,7 @@
     receiver: Incarnation,
     peer: &Peer,
 ) -> bool {
-    let sum = budgets.holder().hand_over(budget, receiver);
+    let sum = budgets.holder().transfer_all(budget, receiver);
     let (budget, from) = (budget.clone(), budgets.fleet.base.incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     let take = |client: PeerServiceClient, cx| async move {
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -124,8 +124,8 @@
                 Command::Give { own, ticket, draw, most, reply } => {
                     if let Some((granted, opened)) = own {
                         let mut holder = budgets.holder();
-                        holder.granted(&draw.budget, granted);
-                        holder.opened(&draw.budget, opened);
+                        holder.record_granted(&draw.budget, granted);
+                        holder.record_opened(&draw.budget, opened);
                     }
                     let answer = give(budgets, &draw, most, reply);
                     self.tickets.answer(ticket, answer);
@@ -158,7 +158,7 @@
         ledger.adopt_row(row.tokens, row.version);
         let terms = terms(budgets, row);
         let outlook = ledger.outlook(budgets.fleet.base.incarnation, &terms);
-        budgets.holder().known(budget, outlook, now);
+        budgets.holder().set_outlook(budget, outlook, now);
     }
 }
 
@@ -234,7 +234,7 @@
         // would ask for them again and again.
         holder.free(&draw.budget) >= draw.need
     } else {
-        holder.can_give(&draw.budget, draw.holder, draw.received, draw.need)
+        holder.can_transfer(&draw.budget, draw.holder, draw.received, draw.need)
     };
     if !is_there {
         let retry_after_ms = RETRY_SOON_MS;
@@ -243,7 +243,7 @@
     if is_own {
         return OwnerAnswer { reply, sent: None };
     }
-    let cumulative = holder.give(&draw.budget, draw.holder, draw.received, most);
+    let cumulative = holder.transfer(&draw.budget, draw.holder, draw.received, most);
     OwnerAnswer { reply, sent: Some((budgets.fleet.base.incarnation, cumulative)) }
 }
 
--- a/crates/daemon/src/budget/ration.rs
+++ b/crates/daemon/src/budget/ration.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bankcove_core::holder::Wish;
+use bankcove_core::holder::RequestDemand;
 use bankcove_core::table::Budget;
 use bankcove_core::{Millis, Tokens};
 
@@ -24,12 +24,12 @@
 /// Without limit in a large fleet, where the budget's owner rations what it hands on: by
 /// what the owner told a daemon with its last tokens, 0.79 of the requests of three days
 /// were served in place of 0.83.
-pub async fn ration(budgets: &Arc<Budgets>, budget: &Budget, wish: Wish) -> Tokens {
+pub async fn ration(budgets: &Arc<Budgets>, budget: &Budget, demand: RequestDemand) -> Tokens {
     if !budgets.fleet.is_small() {
         return Tokens::MAX;
     }
-    let by_last_word = known_ration(budgets, budget, wish);
-    if wish.tokens <= by_last_word || !is_word_old(budgets, budget) {
+    let by_last_word = known_ration(budgets, budget, demand);
+    if demand.tokens <= by_last_word || !is_word_old(budgets, budget) {
         return by_last_word;
     }
     if !budgets.begin_ahead(&budget.name, budgets.fleet.base.clock.now()) {
@@ -39,12 +39,12 @@
     let looking = tokio::spawn(look_again(Arc::clone(budgets), budget.clone()));
     // Without an answer in time the last word stands.
     let _outcome = tokio::time::timeout(LOOK_WAIT, looking).await;
-    known_ration(budgets, budget, wish)
+    known_ration(budgets, budget, demand)
 }
 
-fn known_ration(budgets: &Budgets, budget: &Budget, wish: Wish) -> Tokens {
+fn known_ration(budgets: &Budgets, budget: &Budget, demand: RequestDemand) -> Tokens {
     let now = budgets.fleet.base.clock.now();
-    budgets.holder().ration(&budget.name, wish.ration_s, wish.rank, now)
+    budgets.holder().ration(&budget.name, demand.ration_s, demand.rank, now)
 }
 
 fn is_word_old(budgets: &Budgets, budget: &Budget) -> bool {
--- a/crates/daemon/src/budget/reserve.rs
+++ b/crates/daemon/src/budget/reserve.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bankcove_core::holder::{Reservation, Shortfall, Wish};
+use bankcove_core::holder::{RequestDemand, Reservation, Shortfall};
 use bankcove_core::owner::RETRY_SOON_MS;
 use bankcove_core::table::Budget;
 use bankcove_core::{Millis, Tokens};
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Source {
     /// The budget's owner, in a large fleet; else the store.
-    Owner(Option<Wish>),
+    Owner(Option<RequestDemand>),
     /// The store: this daemon was asked as the owner, and asks no further.
     Store,
 }
@@ -40,17 +40,17 @@
 pub async fn reserve(
     budgets: &Arc<Budgets>,
     budget: &Budget,
-    wish: Wish,
+    demand: RequestDemand,
 ) -> Result<Reservation, Refusal> {
     let arrived = budgets.fleet.base.clock.now();
-    let try_now = || budgets.holder().reserve(&budget.name, wish.tokens, arrived);
+    let try_now = || budgets.holder().reserve(&budget.name, demand.tokens, arrived);
     if let Ok(reservation) = try_now() {
         if budgets.fleet.base.cfg.limits.witnesses > 0 {
             prepare(budgets, budget);
         }
         return Ok(reservation);
     }
-    obtain(budgets, budget, Source::Owner(Some(wish)), arrived, try_now).await
+    obtain(budgets, budget, Source::Owner(Some(demand)), arrived, try_now).await
 }
 
 /// Draws until `try_now` has what it takes.
@@ -102,14 +102,14 @@
     need: Tokens,
     source: Source,
 ) -> Result<(), Refusal> {
-    let (owners, wish) = match source {
-        Source::Owner(wish) => (owners(budgets, budget), wish),
+    let (owners, demand) = match source {
+        Source::Owner(demand) => (owners(budgets, budget), demand),
         Source::Store => (Vec::new(), None),
     };
     let has_owners = !owners.is_empty();
     for owner in owners {
         let Some(owner) = owner else { return draw(budgets, budget, need).await };
-        if let Some(outcome) = ask_for_tokens(budgets, budget, need, wish, &owner).await {
+        if let Some(outcome) = ask_for_tokens(budgets, budget, need, demand, &owner).await {
             return outcome;
         }
     }
@@ -128,7 +128,7 @@
     let now = budgets.fleet.base.clock.now();
     let (closes, runs_low) = {
         let holder = budgets.holder();
-        (holder.is_nearly_closed(&budget.name, now), holder.runs_low(&budget.name, &terms, now))
+        (holder.needs_opening(&budget.name, now), holder.is_low(&budget.name, &terms, now))
     };
     if !closes && !runs_low {
         return;
@@ -144,7 +144,7 @@
             let _refused = refill(&budgets, &budget, 0, Source::Owner(None)).await;
         }
         budgets.end_ahead(&budget.name);
-        if budgets.holder().owes(&budget.name) {
+        if budgets.holder().has_unmet(&budget.name) {
             prepare(&budgets, &budget);
         }
     });
--- a/crates/daemon/src/budget/statement.rs
+++ b/crates/daemon/src/budget/statement.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bankcove_core::Name;
-use bankcove_core::holder::{Holding, Statement};
+use bankcove_core::holder::{DaemonHolding, Statement};
 use bankcove_core::shard::{Ledger, Shard, shard_of_budget};
 use bankcove_core::table::Budget;
 use bankcove_ports::Kind;
@@ -19,7 +19,7 @@
 const LOOKS: usize = 3;
 
 /// What this daemon holds of a budget.
-pub fn holding(budgets: &Budgets, budget: &Name) -> Holding {
+pub fn holding(budgets: &Budgets, budget: &Name) -> DaemonHolding {
     let holder = budgets.holder();
     holder.holding(&budgets.fleet.base.cfg.name, budgets.fleet.base.incarnation, budget)
 }
@@ -34,7 +34,7 @@
 ) -> bankcove_ports::Result<(Ledger, Statement)> {
     let mut look = look(budgets, row).await?;
     for _ in 1..LOOKS {
-        if look.1.on_the_way >= 0 {
+        if look.1.in_transit >= 0 {
             break;
         }
         look = self::look(budgets, row).await?;
@@ -49,7 +49,7 @@
     let mut holders = ask_others(budgets, &row.name, &before).await;
     holders.push(holding(budgets, &row.name));
     let ledger = read(budgets, row).await?;
-    let statement = Statement::of(&ledger, holders);
+    let statement = Statement::new(&ledger, holders);
     Ok((ledger, statement))
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Asks the peers, and those holders that the ledger names and this daemon has not heard of.
-async fn ask_others(budgets: &Arc<Budgets>, budget: &Name, ledger: &Ledger) -> Vec<Holding> {
+async fn ask_others(budgets: &Arc<Budgets>, budget: &Name, ledger: &Ledger) -> Vec<DaemonHolding> {
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     let mut addresses: BTreeSet<String> =
         budgets.fleet.members.lock().usable().map(|peer| peer.address.clone()).collect();
--- a/crates/daemon/src/budget/tend.rs
+++ b/crates/daemon/src/budget/tend.rs
@@ -49,7 +49,7 @@
     let now = budgets.fleet.base.clock.now();
     let (held, most) = {
         let holder = budgets.holder();
-        (holder.holdings(), holder.most_held(BUDGETS_TOLD))
+        (holder.holdings(), holder.largest_holdings(BUDGETS_TOLD))
     };
     let most: Vec<String> = most.iter().map(ToString::to_string).collect();
     slog::info!(budgets.fleet.base.log, "tokens held";
@@ -82,14 +82,14 @@
     }
     let returned = match &owner {
         Some(Peer { incarnation: Some(owner), .. }) => {
-            budgets.holder().give_back_surplus(&budget.name, *owner, &terms, now)
+            budgets.holder().return_surplus_to_owner(&budget.name, *owner, &terms, now)
         }
         // Without word of its start the owner would not take in what goes back to it.
         Some(owner) => {
             meet_owner(budgets, budget, owner);
             0
         }
-        None => budgets.holder().return_surplus(&budget.name, &terms, now),
+        None => budgets.holder().return_surplus_to_store(&budget.name, &terms, now),
     };
     if returned == 0 {
         if !budgets.stopping.is_cancelled() {
--- a/crates/daemon/src/budget/terms.rs
+++ b/crates/daemon/src/budget/terms.rs
@@ -1,7 +1,7 @@
 //! The terms under which this daemon holds a budget.
 
 use bankcove_core::Millis;
-use bankcove_core::holder::{Keeps, Terms};
+use bankcove_core::holder::{DrawTerms, PrefetchScope};
 use bankcove_core::table::Budget;
 
 use crate::budget::budgets::Budgets;
@@ -25,32 +25,32 @@
 
 /// The terms of a budget's row for this daemon now: how far ahead it draws, and for whom,
 /// follows from the size of the fleet, from who owns the budget, and from a planned stop.
-pub(crate) fn terms(budgets: &Budgets, budget: &Budget) -> Terms {
-    let terms = Terms {
+pub(crate) fn terms(budgets: &Budgets, budget: &Budget) -> DrawTerms {
+    let terms = DrawTerms {
         tokens: budget.tokens,
         version: budget.version,
         horizon_s: budget.horizon_s,
         share_divisor: budget.share_divisor,
         held_ahead: budget.held_ahead,
         kept_for_others: 0.0,
-        keeps: Keeps::ForItself,
+        prefetch: PrefetchScope::ForItself,
         daemons: budgets.fleet.size().map_or(UNKNOWN_FLEET, |size| size as u64),
     };
     if budgets.fleet.base.cfg.limits.witnesses > 0 {
         let daemons = 1 + budgets.fleet.members.lock().usable().count() as u64;
-        return Terms { daemons, ..terms };
+        return DrawTerms { daemons, ..terms };
     }
     if budgets.leaving.is_cancelled() {
         // What it holds goes back before the kill, and is drawn anew where it is needed.
         let is_stopping = budgets.stopping.is_cancelled();
         let horizon_s = if is_stopping { 0.0 } else { LEAVING_HORIZON_S };
-        return Terms { horizon_s, held_ahead: 0.0, ..terms };
+        return DrawTerms { horizon_s, held_ahead: 0.0, ..terms };
     }
     if budgets.fleet.is_small() {
         // Alone as it seems at first, this daemon would take all shares for itself.
         let is_new = budgets.fleet.base.clock.now() < MEMBERS_KNOWN_MS;
         let daemons = if is_new { terms.daemons.max(UNKNOWN_FLEET) } else { terms.daemons };
-        return Terms { daemons, ..terms };
+        return DrawTerms { daemons, ..terms };
     }
     // In a large fleet an equal share is less than one request: the owner keeps for all.
     // Until spending is known it keeps some: with the store away as callers came, nobody
@@ -58,7 +58,12 @@
     let is_owner = budgets.fleet.size().is_some() && owners_to_ask(budgets, budget).is_empty();
     if is_owner {
         let kept_for_others = KEPT_FOR_OTHERS;
-        return Terms { held_ahead: 0.0, kept_for_others, keeps: Keeps::ForFleet, ..terms };
+        return DrawTerms {
+            held_ahead: 0.0,
+            kept_for_others,
+            prefetch: PrefetchScope::ForFleet,
+            ..terms
+        };
     }
-    Terms { held_ahead: 0.0, keeps: Keeps::LeftToOwner, ..terms }
+    DrawTerms { held_ahead: 0.0, prefetch: PrefetchScope::LeftToOwner, ..terms }
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -210,7 +210,7 @@
             slog::warn!(daemon.log, "this host stays on the list"; "error" => %e);
         }
         slog::info!(daemon.log, "stopped"; "finished" => finished, "retired" => retired,
-            "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().reserved_in_all(),
+            "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().total_reserved(),
             "bills_waiting" => daemon.billing.waiting());
         // What is open may go on until the platform's kill. Time over: the sides end.
         let _over = daemon.clock.before(deadline, daemon.requests.work.wait()).await;
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::{Reservation, Wish};
+use bankcove_core::holder::{RequestDemand, Reservation};
 use bankcove_core::outage;
 use bankcove_core::owner::RETRY_LATER_MS;
 use bankcove_core::table::Budget;
@@ -64,16 +64,16 @@
     let requests = &call.entry.requests;
     let name = budget.name.to_string();
     let (ration_s, rank) = (call.entry.settings.ration_s, call.plan.rank());
-    let wish = Wish { tokens, rank, ration_s };
+    let demand = RequestDemand { tokens, rank, ration_s };
     let rationed = |ration: Tokens| {
         let retry_after = Duration::from_millis(RETRY_LATER_MS);
         Refusal::BudgetRationed { budget: budget.name.to_string(), tokens, ration, retry_after }
     };
-    let ration = ration(&requests.budgets, budget, wish).await;
+    let ration = ration(&requests.budgets, budget, demand).await;
     if tokens > ration {
         return Err(rationed(ration));
     }
-    let reserving = reserve::reserve(&requests.budgets, budget, wish);
+    let reserving = reserve::reserve(&requests.budgets, budget, demand);
     match tokio::time::timeout(BUDGET_WAIT, reserving).await {
         Ok(Ok(reservation)) => Ok(reservation),
         Ok(Err(refusal)) => {
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bankcove_core::table::{Budget, Route, RouteTarget, Share, Table, Workspace};
+use bankcove_core::table::{Budget, Route, RouteTarget, ServiceShare, Table, Workspace};
 use bankcove_core::{Name, Tokens};
 use bankcove_ports::wire::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
@@ -49,7 +49,7 @@
         path: &str,
         incoming: &Incoming,
     ) -> Result<Self, Refusal> {
-        let route = table.route_of_host(host, path).ok_or(Refusal::NoRoute)?;
+        let route = table.route_for_host(host, path).ok_or(Refusal::NoRoute)?;
         let workspace = workspace_of(table, route, incoming)?;
         let RouteTarget::Host { split, .. } = &route.target else {
             return Err(Refusal::NoRoute);
@@ -92,7 +92,7 @@
     incoming: &Incoming,
 ) -> Result<Option<&'a Workspace>, Refusal> {
     let has_workspaces = !table.workspaces.is_empty();
-    let known = incoming.key.as_ref().and_then(|key| table.workspace_of_key(&hash_key(key)));
+    let known = incoming.key.as_ref().and_then(|key| table.workspace_by_key(&hash_key(key)));
     if known.is_none() && has_workspaces && !route.public {
         return Err(Refusal::UnknownKey);
     }
@@ -100,7 +100,7 @@
 }
 
 /// The share that a request falls to: the same one on every requests.
-fn share_of<'a>(split: &'a [Share], id: &str) -> Option<&'a Share> {
+fn share_of<'a>(split: &'a [ServiceShare], id: &str) -> Option<&'a ServiceShare> {
     let total: f64 = split.iter().map(|share| share.weight).sum();
     let point = xxh3_64(id.as_bytes()) as f64 / u64::MAX as f64 * total;
     let mut passed = 0.0;
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use bankcove_core::holder::Holding;
+use bankcove_core::holder::DaemonHolding;
 use bankcove_core::{Name, Tokens};
 use serde_json::{Value, json};
 
@@ -47,7 +47,7 @@
         .map(|(name, account)| (name.to_string(), account.free()))
         .collect();
     let held = |name: &String| statement::holding(&daemon.budgets, &Name::from(name.as_str()));
-    let holdings: Vec<Holding> = free.keys().map(held).collect();
+    let holdings: Vec<DaemonHolding> = free.keys().map(held).collect();
     let mut table = daemon.table.load().as_ref().map(|table| (**table).clone());
     if let Some(table) = &mut table {
         // Not even hashes of keys leave by a dump.
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -3,7 +3,7 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
-use bankcove_core::holder::{Allotted, Ask, Holding};
+use bankcove_core::holder::{Allotted, DaemonHolding, TokenRequest};
 use bankcove_core::limits::{Issued, LimitFact, Wish};
 use bankcove_core::members::{Heartbeat, Host};
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
@@ -114,10 +114,10 @@
     async fn ask_owner(request: Request) -> OwnerAnswer;
     /// Asks the receiver, as the owner of a budget's shard, for tokens that it
     /// holds itself or draws.
-    async fn allot(ask: Ask) -> AllotAnswer;
+    async fn allot(ask: TokenRequest) -> AllotAnswer;
     /// Asks the receiver for a part of what it has free, while no more can be
     /// drawn from the store.
-    async fn lend(ask: Ask) -> Allotted;
+    async fn lend(ask: TokenRequest) -> Allotted;
     /// Hands the receiver what `from`, which stops while the store is away, had free:
     /// a cumulative sum. Whether the receiver is still this start of it.
     async fn take(budget: Name, receiver: Incarnation, from: Incarnation, sum: Tokens) -> bool;
@@ -130,7 +130,7 @@
         most: Tokens,
     ) -> GiveAnswer;
     /// What the receiver holds and has spent of a budget.
-    async fn holding(budget: Name) -> Holding;
+    async fn holding(budget: Name) -> DaemonHolding;
     /// Asks the receiver as a witness to agree that `holder` opens its grant up
     /// to this cumulative sum.
     async fn open(holder: Incarnation, witness: Incarnation, budget: Name, opened: Tokens) -> bool;
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -6,7 +6,7 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
-use bankcove_core::holder::{Allotted, Ask, Holding};
+use bankcove_core::holder::{Allotted, DaemonHolding, TokenRequest};
 use bankcove_core::limits::{LimitFact, Wish};
 use bankcove_core::members::Heartbeat;
 use bankcove_core::owner::Request;
@@ -82,11 +82,11 @@
         owner::ask_local_owner(&self.daemon.budgets, request).await
     }
 
-    async fn allot(self, _: Context, ask: Ask) -> AllotAnswer {
+    async fn allot(self, _: Context, ask: TokenRequest) -> AllotAnswer {
         allotment::allot(&self.daemon.budgets, ask).await
     }
 
-    async fn lend(self, _: Context, ask: Ask) -> Allotted {
+    async fn lend(self, _: Context, ask: TokenRequest) -> Allotted {
         self.daemon.budgets.holder().lend(&ask)
     }
 
@@ -100,7 +100,7 @@
     ) -> bool {
         let is_me = receiver == self.daemon.incarnation;
         if is_me {
-            self.daemon.budgets.holder().received(&budget, from, sum);
+            self.daemon.budgets.holder().record_received(&budget, from, sum);
         }
         is_me
     }
@@ -120,7 +120,7 @@
         collect::give_all(&self.daemon.budgets, &budget, receiver, received, most).await
     }
 
-    async fn holding(self, _: Context, budget: Name) -> Holding {
+    async fn holding(self, _: Context, budget: Name) -> DaemonHolding {
         statement::holding(&self.daemon.budgets, &budget)
     }
 
--- a/crates/daemon/src/view/routing_table.rs
+++ b/crates/daemon/src/view/routing_table.rs
@@ -63,7 +63,7 @@
 fn hall_row<'a>(table: &'a mut Table, name: &Name) -> &'a mut Hall {
     let place = table.halls.iter().position(|row| row.name == *name);
     let place = place.unwrap_or_else(|| {
-        table.halls.push(Hall::of_platform(name.clone()));
+        table.halls.push(Hall::from_platform(name.clone()));
         table.halls.len() - 1
     });
     &mut table.halls[place]
--- a/crates/daemon/tests/fleet_size.rs
+++ b/crates/daemon/tests/fleet_size.rs
@@ -54,7 +54,7 @@
         speaks(&daemon, n);
     }
     for n in 0..40 {
-        let budget = Budget::of_workspace(Name::from(format!("budget-{n}").as_str()), 1_000, 1);
+        let budget = Budget::for_workspace(Name::from(format!("budget-{n}").as_str()), 1_000, 1);
         assert!(
             !owners_to_ask(&daemon.budgets, &budget).is_empty(),
             "it would draw {}",
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -56,7 +56,7 @@
 
 #[tokio::test]
 async fn what_is_not_needed_goes_back_to_an_owner_never_heard_in_a_heartbeat() {
-    let budget = Budget::of_workspace(Name::from("main"), 1_000_000, 1);
+    let budget = Budget::for_workspace(Name::from("main"), 1_000_000, 1);
     let (one, two) = (daemon("entry-0", 20_001), daemon("entry-1", 20_002));
     lists(&one, &two);
     lists(&two, &one);
@@ -67,8 +67,8 @@
         // Not adopted: that would send a heartbeat.
         daemon.table.store(Some(Arc::new(table)));
     }
-    owner.budgets.holder().granted(&budget.name, HELD);
-    owner.budgets.holder().opened(&budget.name, HELD);
+    owner.budgets.holder().record_granted(&budget.name, HELD);
+    owner.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
     let peer = owners_to_ask(&asker.budgets, &budget).remove(0);
     let answer = ask_for_tokens(&asker.budgets, &budget, ASKED, None, &peer).await;
@@ -90,7 +90,7 @@
 /// back to an owner whose start it knows, and it never had to ask this one.
 #[tokio::test]
 async fn what_a_former_owner_holds_goes_back_to_one_that_it_never_asked() {
-    let budget = Budget::of_workspace(Name::from("main"), 1_000_000, 1);
+    let budget = Budget::for_workspace(Name::from("main"), 1_000_000, 1);
     let (one, two) = (daemon("entry-2", 20_003), daemon("entry-3", 20_004));
     lists(&one, &two);
     lists(&two, &one);
@@ -100,8 +100,8 @@
         let table = Table { revision: 1, budgets: vec![budget.clone()], ..Table::default() };
         daemon.table.store(Some(Arc::new(table)));
     }
-    former.budgets.holder().granted(&budget.name, HELD);
-    former.budgets.holder().opened(&budget.name, HELD);
+    former.budgets.holder().record_granted(&budget.name, HELD);
+    former.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
     tokio::spawn(tend::tend(Arc::clone(&former.budgets)));
     for _ in 0..LOOKS {
--- a/crates/daemon/tests/packed_table.rs
+++ b/crates/daemon/tests/packed_table.rs
@@ -5,7 +5,7 @@
 use bankcoved::peer::packed_table::PackedTable;
 
 fn table() -> Table {
-    let budget = |n| Budget::of_workspace(Name::from(format!("b-{n}").as_str()), 1_000, 7);
+    let budget = |n| Budget::for_workspace(Name::from(format!("b-{n}").as_str()), 1_000, 7);
     Table { revision: 7, budgets: (0..200).map(budget).collect(), ..Table::default() }
 }
 
