--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -1,8 +1,9 @@
-//! The spending half of budgets: what this daemon holds and has promised.
+//! Budget tokens that this daemon holds, reserves, spends and transfers.
 //!
-//! Every credit and debit is a cumulative sum per counterpart, so a message
-//! that is repeated, reordered or lost does no harm: the next one heals it.
-//! A debit is made before it is told, so a token is never in two places.
+//! Credits and debits are cumulative sums per counterpart, so a repeated,
+//! reordered or lost message does no harm: the next one corrects the sum.
+//! The sender debits tokens before it reports them, so no token is ever
+//! counted at two daemons.
 
 mod account;
 mod allot;
@@ -29,22 +30,22 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// Less than this part of what a holder needs ahead calls for a draw. With 0.8 and a
-/// shorter horizon as much was refused in cuts and after losses of power.
+/// A holder draws when it has less than this fraction of its prefetch target. 0.8 with a
+/// shorter horizon refused as many requests in network cuts and after power losses.
 const LOW_FRACTION: f64 = 0.5;
 
-/// Once this daemon has spent for so long, its rates tell what to hold, in
-/// milliseconds; it is the time constant of the rates.
+/// Time after the first reservation, in milliseconds, from which the measured rates
+/// alone decide how much to hold; equal to the time constant of the rates.
 const RATE_WARMUP_MS: Millis = 10_000;
 
-/// What `reserve` answers when the tokens at hand do not suffice.
+/// Error of a reservation or an allotment for which too few tokens are free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shortfall {
-    /// Tokens missing.
+    /// Number of tokens missing.
     pub missing: Tokens,
 }
 
-/// Tokens set aside for one attempt; it is settled exactly once.
+/// Tokens reserved for one attempt; a reservation is settled exactly once.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a reservation that is not settled keeps its tokens"]
 pub struct Reservation {
@@ -54,40 +55,41 @@
 }
 
 impl Reservation {
-    /// The budget that it draws on.
+    /// Returns the budget whose tokens are reserved.
     pub fn budget(&self) -> &Name {
         &self.budget
     }
 
-    /// The most that the attempt may cost.
+    /// Returns the most that the attempt may cost, in tokens.
     pub fn tokens(&self) -> Tokens {
         self.tokens
     }
 }
 
-/// A step that opens more of a grant, once every witness has agreed.
+/// A proposal to open more of a grant, which takes effect once every witness has agreed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Opening {
-    /// Cumulative tokens of the grant that will be open.
+    /// Cumulative tokens of the grant that are open afterwards.
     pub opened: Tokens,
-    /// Who has to agree.
+    /// Witnesses that have to agree.
     pub witnesses: Vec<Witness>,
 }
 
-/// All that this daemon holds.
+/// The token accounts of this daemon, one for each budget.
 #[derive(Debug, Clone, Serialize)]
 pub struct Holder {
     incarnation: Incarnation,
     accounts: HashMap<Name, Account>,
-    /// Tokens set aside of all budgets, and the requests that they were for.
+    /// Rate of tokens that requests reserved here or lacked at other daemons, all budgets.
     asked_for: Rate,
+    /// Rate of those requests.
     requests: Rate,
-    /// When the first tokens of any budget were set aside here.
+    /// Time of the first reservation or allotment at this daemon.
     spending_since: Option<Millis>,
 }
 
 impl Holder {
-    /// A holder that has nothing yet.
+    /// Creates a holder without tokens.
     pub fn new(incarnation: Incarnation) -> Self {
         Holder {
             incarnation,
@@ -98,57 +100,57 @@
         }
     }
 
-    /// The start of the daemon that holds.
+    /// Returns the incarnation of this daemon.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The budgets that this daemon ever held tokens of.
+    /// Returns the accounts of all budgets that this incarnation has used.
     pub fn accounts(&self) -> &HashMap<Name, Account> {
         &self.accounts
     }
 
-    /// Tokens of `budget` that may be reserved now.
+    /// Returns the tokens of `budget` that may be reserved now.
     pub fn free(&self, budget: &Name) -> Tokens {
         self.accounts.get(budget).map_or(0, Account::free)
     }
 
-    /// Tokens of `budget` that have to be opened before they are spent.
+    /// Returns the granted tokens of `budget` that must be opened before they can be spent.
     pub fn sealed(&self, budget: &Name) -> Tokens {
         self.accounts.get(budget).map_or(0, Account::sealed)
     }
 
-    /// Recent spending of `budget`, in tokens a second.
+    /// Returns the recent spending rate of `budget`, in tokens per second.
     pub fn rate(&self, budget: &Name, now: Millis) -> u64 {
         self.accounts.get(budget).map_or(0, |account| account.rate.per_second(now) as u64)
     }
 
-    /// Tokens of `budget` set aside for running attempts.
+    /// Returns the tokens of `budget` reserved for running attempts.
     pub fn reserved(&self, budget: &Name) -> Tokens {
         self.accounts.get(budget).map_or(0, |account| account.reserved)
     }
 
-    /// Tokens of all budgets set aside for running attempts.
+    /// Returns the tokens of all budgets reserved for running attempts.
     pub fn total_reserved(&self) -> Tokens {
         self.accounts.values().map(|account| account.reserved).sum()
     }
 
-    /// Whom this daemon ever sent tokens of `budget` to.
+    /// Returns the daemons to which this one has sent tokens of `budget`.
     pub fn receivers(&self, budget: &Name) -> Vec<Incarnation> {
         let account = self.accounts.get(budget);
         account.map(|account| account.sent.keys().copied().collect()).unwrap_or_default()
     }
 
-    /// Cumulative tokens of `budget` that came from `sender`.
+    /// Returns the cumulative tokens of `budget` received from `sender`.
     pub fn received_from(&self, budget: &Name, sender: Incarnation) -> Tokens {
         let account = self.accounts.get(budget);
         account.and_then(|account| account.received.get(&sender)).copied().unwrap_or(0)
     }
 
-    /// Sets `tokens` aside.
+    /// Reserves `tokens` of `budget` for one attempt.
     ///
     /// # Errors
-    /// [`Shortfall`] when fewer are free; nothing is set aside then.
+    /// [`Shortfall`] when fewer are free; nothing is reserved then.
     pub fn reserve(
         &mut self,
         budget: &Name,
@@ -169,8 +171,8 @@
         Ok(Reservation { budget: budget.clone(), tokens, since: now })
     }
 
-    /// Ends a reservation: `used` tokens are spent, the others are free again.
-    /// More than was reserved can't be spent: the excess is cut off.
+    /// Ends a reservation: `used` tokens are spent and the rest become free again.
+    /// `used` is capped at the reserved amount.
     pub fn settle(&mut self, reservation: Reservation, used: Tokens) {
         let account = self.accounts.entry(reservation.budget).or_default();
         account.reserved -= reservation.tokens;
@@ -178,15 +180,15 @@
         account.spent += used.min(reservation.tokens);
     }
 
-    /// What a request costs at its most, of late; 0 while none has come.
-    fn mean_request(&self, now: Millis) -> Tokens {
+    /// Returns the recent mean of what one request reserves, in tokens; 0 before the first.
+    fn mean_request_cost(&self, now: Millis) -> Tokens {
         let requests = self.requests.per_second(now);
         if requests > 0.0 { (self.asked_for.per_second(now) / requests) as Tokens } else { 0 }
     }
 
-    /// The terms without what is held ahead whatever is spent, once spending is
-    /// known: it would only be lost with the host.
-    fn effective(&self, terms: &DrawTerms, now: Millis) -> DrawTerms {
+    /// Returns `terms` without the amounts that are held regardless of spending, once the
+    /// spending rate is known: those tokens would only be lost with the host.
+    fn effective_terms(&self, terms: &DrawTerms, now: Millis) -> DrawTerms {
         let is_known = self.spending_since.is_some_and(|since| now >= since + RATE_WARMUP_MS);
         if is_known {
             DrawTerms { held_ahead: 0.0, kept_for_others: 0.0, ..*terms }
@@ -195,48 +197,48 @@
         }
     }
 
-    /// Whether so little is free that it is time to draw ahead; also before the
-    /// first request, which may come when the store is away.
+    /// Returns whether tokens should be prefetched because too few are held. True also before
+    /// the first request, which may arrive while the store is unreachable.
     pub fn is_low(&self, budget: &Name, terms: &DrawTerms, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else {
-            return self.effective(terms, now).min_held(terms.tokens, Tokens::MAX) > 0;
+            return self.effective_terms(terms, now).min_held(terms.tokens, Tokens::MAX) > 0;
         };
-        let at_hand = account.free() + account.sealed();
-        let mut wanted = account.prefetch_target(terms, self.mean_request(now), now);
-        let terms = self.effective(terms, now);
+        let held = account.free() + account.sealed();
+        let mut wanted = account.prefetch_target(terms, self.mean_request_cost(now), now);
+        let terms = self.effective_terms(terms, now);
         if terms.kept_for_others > 0.0 {
             wanted = wanted.max(account.min_held(&terms));
         }
-        (at_hand as f64) < wanted as f64 * LOW_FRACTION || account.unmet > 0
+        (held as f64) < wanted as f64 * LOW_FRACTION || account.unmet > 0
     }
 
-    /// Gives back what is free beyond `SURPLUS_FACTOR` times the horizon and the floor
-    /// that `terms` name; returns how much. The next draw tells the store.
+    /// Gives tokens back to the store when more than `SURPLUS_FACTOR` times the prefetch target
+    /// and the minimum of `terms` is free; returns how many. The next draw reports it.
     pub fn return_surplus_to_store(
         &mut self,
         budget: &Name,
         terms: &DrawTerms,
         now: Millis,
     ) -> Tokens {
-        let terms = self.effective(terms, now);
-        let usual = self.mean_request(now);
+        let terms = self.effective_terms(terms, now);
+        let mean_request = self.mean_request_cost(now);
         let Some(account) = self.accounts.get_mut(budget) else { return 0 };
         account.kept_for_needs =
             if terms.kept_for_others > 0.0 { account.min_held(&terms) } else { 0 };
-        // Only tokens of the own grant go back, and no more than it holds.
+        // Only tokens of this daemon's own grant go back, and no more than it contains.
         let of_grant = account.opened.saturating_sub(account.returned);
-        let surplus = account.surplus(&terms, usual, now).min(of_grant);
+        let surplus = account.surplus(&terms, mean_request, now).min(of_grant);
         account.returned += surplus;
         surplus
     }
 
-    /// Whether so little is open that it is time to open more.
+    /// Returns whether more of the grant should be opened because too little of it is free.
     pub fn needs_opening(&self, budget: &Name, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else { return false };
         account.sealed() > 0 && account.free() < account.open_ahead(now) / 2
     }
 
-    /// The draw that would let `need` more tokens be reserved.
+    /// Returns the draw request after which `need` more tokens can be reserved.
     pub fn draw(
         &mut self,
         budget: &Name,
@@ -245,14 +247,14 @@
         address: &str,
         now: Millis,
     ) -> Draw {
-        let terms = self.effective(&terms, now);
-        let usual = self.mean_request(now);
+        let terms = self.effective_terms(&terms, now);
+        let mean_request = self.mean_request_cost(now);
         let account = self.accounts.entry(budget.clone()).or_default();
-        let ahead = account.prefetch_target(&terms, usual, now);
-        // A need is what is missing when all that is free is taken, so the whole
-        // horizon comes on top of it.
-        let at_hand = if need == 0 { account.free() + account.sealed() } else { 0 };
-        let ahead = ahead.saturating_sub(at_hand);
+        let ahead = account.prefetch_target(&terms, mean_request, now);
+        // `need` is what is missing once all free tokens are used, so the whole prefetch
+        // target is added to it.
+        let held = if need == 0 { account.free() + account.sealed() } else { 0 };
+        let ahead = ahead.saturating_sub(held);
         account.draws += 1;
         account.unmet = 0;
         account.total = terms.tokens;
@@ -271,13 +273,13 @@
             need,
             want: need.saturating_add(ahead),
             open: need.saturating_add(account.open_ahead(now)),
-            rate: account.spending(need, &terms, now),
+            rate: account.spending_rate(need, &terms, now),
             terms,
         }
     }
 
-    /// Takes in that a draw will name these witnesses. Until its answer comes,
-    /// the store may have recorded them or the ones before: all have to agree.
+    /// Adds the witnesses that the next draw names. Until its answer arrives the store may
+    /// have recorded either these or the previous ones, so all of them have to agree.
     pub fn propose_witnesses(&mut self, budget: &Name, witnesses: &[Witness]) {
         let account = self.accounts.entry(budget.clone()).or_default();
         for witness in witnesses {
@@ -287,14 +289,14 @@
         }
     }
 
-    /// Takes in that the store has recorded these witnesses.
+    /// Replaces the witnesses by those that the store has recorded.
     pub fn set_recorded_witnesses(&mut self, budget: &Name, witnesses: &[Witness]) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.witnesses = witnesses.to_vec();
     }
 
-    /// What would open `need` more of the grant and some ahead; none when
-    /// nothing is sealed or there is nobody to attest it.
+    /// Returns the proposal to open `need` more tokens of the grant and some ahead; none when
+    /// nothing is sealed or no witness is known.
     pub fn next_opening(&self, budget: &Name, need: Tokens, now: Millis) -> Option<Opening> {
         let account = self.accounts.get(budget)?;
         let more = need.saturating_add(account.open_ahead(now)).min(account.sealed());
@@ -305,8 +307,8 @@
         Some(Opening { opened: account.opened + more, witnesses })
     }
 
-    /// Takes in that every witness of `opening` has agreed. It counts only if
-    /// nobody else may be a witness by now.
+    /// Applies `opening` after all its witnesses have agreed, and returns whether it did.
+    /// It does not apply when another witness may have been recorded in the meantime.
     pub fn confirm_opening(&mut self, budget: &Name, opening: &Opening) -> bool {
         let account = self.accounts.entry(budget.clone()).or_default();
         let agreed = account.witnesses.iter().all(|known| opening.witnesses.contains(known));
@@ -316,51 +318,51 @@
         agreed
     }
 
-    /// Takes in which other start at this daemon's address the ledger names. It was told
-    /// to this one, so it ran before it.
+    /// Records the other incarnation that the ledger lists at this daemon's address. It was
+    /// reported to the current incarnation, so it is an earlier one.
     pub fn set_earlier_start(&mut self, budget: &Name, start: Option<Incarnation>) {
         self.accounts.entry(budget.clone()).or_default().earlier_start = start;
     }
 
-    /// Takes in what may be spent of the grant, as a cumulative sum.
+    /// Records how much of the grant is open, as a cumulative sum.
     pub fn record_opened(&mut self, budget: &Name, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.opened = account.opened.max(cumulative).min(account.granted);
     }
 
-    /// Takes in the store's cumulative grant.
+    /// Records the cumulative grant of the store.
     pub fn record_granted(&mut self, budget: &Name, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         account.granted = account.granted.max(cumulative);
     }
 
-    /// Takes in what `sender` has sent, as a cumulative sum.
+    /// Records what `sender` has sent, as a cumulative sum.
     pub fn record_received(&mut self, budget: &Name, sender: Incarnation, cumulative: Tokens) {
         let account = self.accounts.entry(budget.clone()).or_default();
         let known = account.received.entry(sender).or_default();
         *known = (*known).max(cumulative);
     }
 
-    /// Sends up to `most` free tokens to `receiver` and returns the cumulative
-    /// sum sent to it. What it has not yet taken in (`already_received` tells)
-    /// counts towards `most`, so that a lost answer is healed by asking again.
+    /// Debits up to `max` free tokens for `receiver` and returns the cumulative sum sent to
+    /// it. Tokens sent beyond `already_received`, its own cumulative count, are still in
+    /// transit and count towards `max`: a retry after a lost answer debits nothing twice.
     pub fn transfer(
         &mut self,
         budget: &Name,
         receiver: Incarnation,
         already_received: Tokens,
-        most: Tokens,
+        max: Tokens,
     ) -> Tokens {
         let account = self.accounts.entry(budget.clone()).or_default();
         let free = account.free();
         let sent = account.sent.entry(receiver).or_default();
-        let under_way = sent.saturating_sub(already_received);
-        *sent += most.saturating_sub(under_way).min(free);
+        let in_transit = sent.saturating_sub(already_received);
+        *sent += max.saturating_sub(in_transit).min(free);
         *sent
     }
 
-    /// Whether `need` tokens can be sent to `receiver`, counting those that
-    /// are under way to it.
+    /// Returns whether `need` tokens can be sent to `receiver`, including those already in
+    /// transit to it.
     pub fn can_transfer(
         &self,
         budget: &Name,
@@ -373,8 +375,8 @@
         sent.saturating_sub(already_received) + account.free() >= need
     }
 
-    /// Gives all free and sealed tokens back to the store for good; returns
-    /// what is kept of the grant.
+    /// Gives all free and sealed tokens back to the store and closes the account; returns how
+    /// much of the grant stays debited to this daemon.
     pub fn retire(&mut self, budget: &Name) -> i64 {
         let account = self.accounts.entry(budget.clone()).or_default();
         let kept = account.opened as i64 - account.free() as i64 - account.returned as i64;
--- a/crates/core/src/holder/account.rs
+++ b/crates/core/src/holder/account.rs
@@ -1,4 +1,4 @@
-//! What a daemon holds of one budget, and how much of it is enough.
+//! The account of one budget at one daemon.
 
 use std::collections::HashMap;
 
@@ -12,34 +12,35 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Millis, Tokens};
 
-/// How much of a grant is opened at a time, in seconds of recent spending. This
-/// much is lost with a daemon that dies; the sealed rest is taken back.
+/// How much of a grant is opened at a time, in seconds of recent spending. An open part is
+/// lost with a daemon that crashes, while the store takes the sealed rest back.
 const OPEN_AHEAD_S: f64 = 2.0;
 
-/// More than this many times what a holder needs ahead is given back.
+/// A holder gives tokens back when it has more than this multiple of its prefetch target.
 pub(super) const SURPLUS_FACTOR: f64 = 1.5;
 
-/// What this daemon holds of one budget.
+/// Tokens of one budget at this daemon: credits, debits and spending.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Account {
-    /// Cumulative grant by the store.
+    /// Cumulative tokens granted by the store.
     pub granted: Tokens,
-    /// What may be spent of it.
+    /// Cumulative tokens of the grant that are open, which may be spent.
     pub opened: Tokens,
-    /// Those that the store may have recorded as witnesses of this holder.
+    /// Daemons that the store may have recorded as witnesses of this holder.
     pub witnesses: Vec<Witness>,
-    /// Draws made.
+    /// Number of draws made.
     pub draws: u64,
-    /// Tokens given back to the store.
+    /// Cumulative tokens given back to the store.
     pub returned: Tokens,
-    /// The budget as a whole, as the store's ledger or the shard's owner said last.
+    /// State of the whole budget, as last reported by the store's ledger or the shard's owner.
     pub outlook: Option<Outlook>,
+    /// Time at which `outlook` was received.
     #[serde(rename = "known_at")]
     pub(super) outlook_at: Millis,
-    /// What the whole fleet takes of what is left, as the outlooks show.
+    /// Rate at which the whole fleet uses the budget, derived from successive outlooks.
     #[serde(rename = "taken")]
     pub(super) fleet_rate: Rate,
-    /// An earlier start at this daemon's address that the ledger still names.
+    /// An earlier incarnation at this daemon's address that the ledger still lists.
     pub(super) earlier_start: Option<Incarnation>,
     /// Tokens that the budget's row allowed at the last draw.
     pub total: Tokens,
@@ -49,55 +50,58 @@
     pub sent: HashMap<Incarnation, Tokens>,
     /// Tokens spent by finished attempts.
     pub spent: Tokens,
-    /// Tokens set aside for running attempts.
+    /// Tokens reserved for running attempts.
     pub reserved: Tokens,
-    /// Those attempts.
+    /// Number and age of those attempts.
     pub running: RunningAttempts,
-    /// Whether the store was told that this holder ends: what still arrives is not
-    /// the holder's any more, since the store may have granted it to others by then.
+    /// Whether the account was closed at the store. Tokens that arrive later do not belong to
+    /// this holder, since the store may have granted them to others by then.
     pub(super) retired: bool,
+    /// Spending rate of this daemon's own requests.
     pub(super) rate: Rate,
+    /// Rate at which tokens are allotted to other daemons.
     #[serde(rename = "handed_on")]
     pub(super) allotted_rate: Rate,
-    /// What an owner keeps for others until spending is known: handed on for needs only.
-    /// Handed on ahead too, it was with a few daemons when the others asked.
+    /// Tokens that an owner reserves for other daemons until spending is known. They are
+    /// allotted only to cover a need: allotted ahead too, a few daemons had all of them when
+    /// the others asked.
     pub(super) kept_for_needs: Tokens,
-    /// Tokens that other daemons wanted ahead since the last draw and did not get.
+    /// Tokens that other daemons requested ahead since the last draw and did not receive.
     pub(super) unmet: Tokens,
 }
 
 impl Account {
-    /// Tokens of the grant that have to be opened before they are spent.
+    /// Returns the granted tokens that must be opened before they can be spent.
     pub fn sealed(&self) -> Tokens {
         self.granted - self.opened
     }
 
-    /// What this holder may keep ahead; none while nothing is known.
+    /// Returns the most that this holder may prefetch; none while no outlook is known.
     pub(super) fn max_prefetch(&self) -> Option<Tokens> {
         self.outlook.map(|outlook| outlook.share)
     }
 
-    /// What to open beyond a need.
+    /// Returns how many tokens to open beyond a need.
     pub(super) fn open_ahead(&self, now: Millis) -> Tokens {
         (self.rate.per_second(now) * OPEN_AHEAD_S) as Tokens
     }
 
-    /// Spending once `need` tokens are spent now, in tokens a second: for the whole fleet
-    /// where this holder keeps for it.
-    pub(super) fn spending(&self, need: Tokens, terms: &DrawTerms, now: Millis) -> Tokens {
+    /// Returns the spending rate after spending `need` tokens now, in tokens per second: that
+    /// of the whole fleet where this holder prefetches for the fleet.
+    pub(super) fn spending_rate(&self, need: Tokens, terms: &DrawTerms, now: Millis) -> Tokens {
         let own = self.rate.per_second_with(need, now);
         let is_for_fleet = terms.prefetch == PrefetchScope::ForFleet;
         let others = if is_for_fleet { self.allotted_rate.per_second(now) } else { 0.0 };
         (own + others) as Tokens
     }
 
-    /// What to keep whatever is spent.
+    /// Returns how many tokens to hold at least, regardless of spending.
     pub(super) fn min_held(&self, terms: &DrawTerms) -> Tokens {
         let left = self.outlook.map_or(terms.tokens, |outlook| outlook.left);
         terms.min_held(left, Tokens::MAX)
     }
 
-    /// Tokens that may be reserved now.
+    /// Returns the tokens that may be reserved now.
     pub fn free(&self) -> Tokens {
         if self.retired {
             return 0;
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -1,10 +1,10 @@
-//! Tokens that one daemon hands on to others of a large fleet.
+//! Allotment and loan of tokens between the daemons of a large fleet.
 //!
-//! In a large fleet only the owner of a budget's shard draws from the store; it
-//! keeps a small reserve and hands tokens on to the other daemons, which answer
-//! in the time of one call and leave no trace in the store: the ledger names the
-//! owners alone, whatever the size of the fleet. Both directions count in
-//! cumulative sums for each pair of daemons, debited before they are told.
+//! In a large fleet only the owner of a budget's shard draws from the store. It
+//! keeps a small reserve and allots tokens to the other daemons, which get them
+//! within one call and do not appear in the store: the ledger lists only the
+//! owners, whatever the size of the fleet. Both directions are counted in
+//! cumulative sums for each pair of daemons, debited before they are reported.
 
 use std::collections::HashMap;
 
@@ -13,71 +13,73 @@
 use crate::holder::{Account, DrawTerms, Holder, Outlook, RequestDemand, Shortfall};
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// What an owner keeps in reserve for others, in seconds of what it handed on of
-/// late. It is lost with the owner; a write that refills it takes some 50 ms.
+/// Reserve that an owner keeps for other daemons, in seconds of its recent allotment
+/// rate. It is lost with the owner; a store write that refills it takes some 50 ms.
 const RESERVE_S: f64 = 1.0;
 
-/// A peer that is asked in an outage keeps the rest for its own callers.
+/// During an outage a peer lends 1/`LENT_DIVISOR` of its free tokens and keeps the rest
+/// for its own callers.
 const LENT_DIVISOR: Tokens = 2;
 
-/// Below this part of the whole budget less and less of what is left is kept ahead.
-/// With 0, fewer than a quarter of the requests were served 15 s after a loss of all
-/// processes, on one of five seeds of a day on which a third was left by then.
-const TAPER_BELOW: f64 = 0.3;
+/// Fraction of the whole budget below which the prefetched part of the rest decreases.
+/// Without the decrease (0), fewer than a quarter of the requests were served 15 s after
+/// all processes were lost, on one of five seeds of a day with a third of the budget left
+/// by then.
+const TAPER_BELOW_FRACTION: f64 = 0.3;
 
-/// Of what is left of a budget, one part is kept ahead by all holders together
-/// and this many stay with the store: what is kept is lost when all hosts lose
-/// power at once, and must serve in a cut.
+/// Tokens of a budget that stay with the store for each one that all holders together
+/// prefetch. Prefetched tokens are lost when all hosts lose power at once, but have to
+/// cover the requests during a network cut.
 pub const LEFT_TO_HELD_RATIO: u64 = 2;
 
-/// A daemon asks the owner of a budget's shard for tokens.
+/// Request of a daemon for tokens, to the owner of a budget's shard or to a lending peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The budget.
     pub budget: Name,
-    /// Who asks.
+    /// The requesting daemon.
     pub holder: Incarnation,
-    /// The start of the owner that the sums below count with; none when the asker
-    /// never had word of it.
+    /// Incarnation of the asked daemon to which the sums below refer; none when the requester
+    /// does not know it.
     pub owner: Option<Incarnation>,
-    /// Cumulative tokens that the asker had from that owner.
+    /// Cumulative tokens that the requester has received from it.
     pub received: Tokens,
-    /// Cumulative tokens that the asker has given back to that owner.
+    /// Cumulative tokens that the requester has given back to it.
     pub given_back: Tokens,
-    /// Tokens that the asker has free.
+    /// Tokens that are free at the requester.
     pub free: Tokens,
-    /// Fewer tokens than these are of no use.
+    /// Fewest tokens that are of use; 0 for a prefetch.
     pub need: Tokens,
-    /// The request that needs them; none for an ask ahead.
+    /// The caller's request that needs them; none for a prefetch.
     #[serde(rename = "wish")]
     pub demand: Option<RequestDemand>,
-    /// Tokens that would last for the horizon.
+    /// Tokens requested in all: `need` and the prefetch target.
     pub want: Tokens,
-    /// Recent spending of the asker, in tokens a second.
+    /// Recent spending rate of the requester, in tokens per second.
     pub rate: Tokens,
 }
 
-/// What the owner has handed on.
+/// Tokens that an owner has allotted, or a peer has lent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotted {
-    /// The owner.
+    /// Incarnation of the sending daemon.
     pub owner: Incarnation,
-    /// Cumulative tokens that it has sent the asker.
+    /// Cumulative tokens that it has sent to the requester.
     pub cumulative: Tokens,
-    /// The budget as the owner sees it for the asker; none when it lends, or has not
-    /// drawn on the budget yet and does not know.
+    /// State of the budget as the owner sees it for the requester; none for a loan, or when
+    /// the owner has not drawn on the budget yet and does not know the state.
     pub outlook: Option<Outlook>,
 }
 
 impl Account {
-    /// What is to be kept in reserve for other daemons: something for needs that
-    /// come up, and what they wanted ahead and did not get.
+    /// Returns the tokens to keep in reserve for other daemons: an amount for new needs, and
+    /// what they requested ahead and did not receive.
     pub(super) fn reserve_for_others(&self, now: Millis) -> Tokens {
         (self.allotted_rate.per_second(now) * RESERVE_S) as Tokens + self.unmet
     }
 
-    /// The budget for a holder that spends at `rate`: it may keep ahead its part of
-    /// what the whole fleet spends, of what may be held.
+    /// Returns the budget's state for a holder that spends at `rate`. Its share of what may be
+    /// prefetched is proportional to its part of the fleet's spending.
     fn outlook_for(&self, rate: Tokens, now: Millis) -> Outlook {
         let left = self.outlook.map_or(0, |outlook| outlook.left) + self.free();
         let fleet = self.rate.per_second(now) + self.allotted_rate.per_second(now);
@@ -87,22 +89,22 @@
     }
 }
 
-/// Part of what is left of a budget that all holders together keep ahead. It falls
-/// as the budget nears its end: what is lost with the hosts then is missed for the
-/// rest of its time, while a caller that is refused in a cut may come back.
+/// Returns the fraction of what is left of a budget that all holders together prefetch. It
+/// falls as the budget nears its end: tokens lost with hosts are missing for the rest of
+/// the budget's time, while a caller refused during a network cut may retry.
 pub fn held_fraction(left: Tokens, total: Tokens) -> f64 {
     end_taper(left, total) / LEFT_TO_HELD_RATIO as f64
 }
 
-/// 1 while more is left of a budget than its last part; from there on it falls to 0 with
-/// what is left.
+/// Returns 1 while more than `TAPER_BELOW_FRACTION` of a budget is left, and below that a
+/// factor that falls linearly to 0.
 pub(super) fn end_taper(left: Tokens, total: Tokens) -> f64 {
-    let near_end = total as f64 * TAPER_BELOW;
-    if near_end > 0.0 { (left as f64 / near_end).min(1.0) } else { 1.0 }
+    let taper_start = total as f64 * TAPER_BELOW_FRACTION;
+    if taper_start > 0.0 { (left as f64 / taper_start).min(1.0) } else { 1.0 }
 }
 
 impl Holder {
-    /// What to ask the owner for, so that `need` more tokens can be reserved.
+    /// Returns the request to `owner` after which `need` more tokens can be reserved.
     pub fn token_request(
         &mut self,
         budget: &Name,
@@ -112,10 +114,10 @@
         now: Millis,
     ) -> TokenRequest {
         let holder = self.incarnation;
-        let usual = self.mean_request(now);
+        let mean_request = self.mean_request_cost(now);
         let account = self.accounts.entry(budget.clone()).or_default();
-        let at_hand = if need == 0 { account.free() } else { 0 };
-        let ahead = account.prefetch_target(terms, usual, now).saturating_sub(at_hand);
+        let held = if need == 0 { account.free() } else { 0 };
+        let ahead = account.prefetch_target(terms, mean_request, now).saturating_sub(held);
         let sum = |sums: &HashMap<Incarnation, Tokens>| {
             owner.and_then(|owner| sums.get(&owner)).copied().unwrap_or(0)
         };
@@ -133,95 +135,97 @@
         }
     }
 
-    /// Takes in what the asker has given back.
-    pub fn record_given_back(&mut self, ask: &TokenRequest, now: Millis) {
-        if ask.owner != Some(self.incarnation) {
+    /// Records what the requester has given back.
+    pub fn record_given_back(&mut self, request: &TokenRequest, now: Millis) {
+        if request.owner != Some(self.incarnation) {
             return;
         }
-        let known = self.received_from(&ask.budget, ask.holder);
-        self.record_received(&ask.budget, ask.holder, ask.given_back);
-        let account = self.accounts.entry(ask.budget.clone()).or_default();
-        // What comes back was not spent.
-        account.allotted_rate.record_drop(known, ask.given_back.max(known), now);
+        let known = self.received_from(&request.budget, request.holder);
+        self.record_received(&request.budget, request.holder, request.given_back);
+        let account = self.accounts.entry(request.budget.clone()).or_default();
+        // Tokens that come back were not spent.
+        account.allotted_rate.record_drop(known, request.given_back.max(known), now);
     }
 
-    /// Hands on what `ask` needs, and what it wants as far as there is some.
+    /// Allots the tokens that `request` needs, and those that it wants ahead as far as there
+    /// are some.
     ///
     /// # Errors
     /// [`Shortfall`] when what it needs is not free here; nothing is sent then.
-    pub fn allot(&mut self, ask: &TokenRequest, now: Millis) -> Result<Allotted, Shortfall> {
-        let knows_me = ask.owner == Some(self.incarnation);
-        let received = if knows_me { ask.received } else { 0 };
+    pub fn allot(&mut self, request: &TokenRequest, now: Millis) -> Result<Allotted, Shortfall> {
+        let addresses_me = request.owner == Some(self.incarnation);
+        let received = if addresses_me { request.received } else { 0 };
         let owner = self.incarnation;
         self.spending_since.get_or_insert(now);
-        let account = self.accounts.entry(ask.budget.clone()).or_default();
-        let is_known = account.outlook.is_some();
-        let outlook = account.outlook_for(ask.rate, now);
-        let ahead = outlook.share.saturating_sub(if ask.need == 0 { ask.free } else { 0 });
-        let most = ask.want.min(ask.need.saturating_add(ahead));
+        let account = self.accounts.entry(request.budget.clone()).or_default();
+        let has_outlook = account.outlook.is_some();
+        let outlook = account.outlook_for(request.rate, now);
+        let ahead = outlook.share.saturating_sub(if request.need == 0 { request.free } else { 0 });
+        let max = request.want.min(request.need.saturating_add(ahead));
         let free = account.free();
-        let sent = account.sent.entry(ask.holder).or_default();
-        // What was sent and not yet taken in counts: its answer was lost.
-        let under_way = if knows_me { sent.saturating_sub(received) } else { 0 };
-        let missing = ask.need.saturating_sub(under_way).saturating_sub(free);
+        let sent = account.sent.entry(request.holder).or_default();
+        // Tokens sent but not yet received count: the answer that reported them was lost.
+        let in_transit = if addresses_me { sent.saturating_sub(received) } else { 0 };
+        let missing = request.need.saturating_sub(in_transit).saturating_sub(free);
         if missing > 0 {
             return Err(Shortfall { missing });
         }
-        // What is kept for needs is not handed on ahead.
+        // Tokens kept for needs are not allotted ahead.
         let spare = free.saturating_sub(account.kept_for_needs);
-        let needed = ask.need.saturating_sub(under_way).min(free);
-        let more = most.saturating_sub(under_way).min(spare).max(needed);
+        let needed = request.need.saturating_sub(in_transit).min(free);
+        let more = max.saturating_sub(in_transit).min(spare).max(needed);
         *sent += more;
         let cumulative = *sent;
-        // They ask again soon; the next draw counts what they lack now.
-        account.unmet += most.saturating_sub(under_way).saturating_sub(more);
+        // The requester retries soon; the next draw includes what it lacks now.
+        account.unmet += max.saturating_sub(in_transit).saturating_sub(more);
         account.allotted_rate.add(more, now);
-        if ask.need > 0 {
-            // What a request of the asker lacks is what it costs, mostly.
-            self.asked_for.add(ask.need, now);
+        if request.need > 0 {
+            // What a caller's request lacks at the requester is mostly its whole cost.
+            self.asked_for.add(request.need, now);
             self.requests.add(1, now);
         }
-        Ok(Allotted { owner, cumulative, outlook: is_known.then_some(outlook) })
+        Ok(Allotted { owner, cumulative, outlook: has_outlook.then_some(outlook) })
     }
 
-    /// Counts what an ask lacks in the next draw.
-    pub fn record_unmet(&mut self, ask: &TokenRequest) {
-        let account = self.accounts.entry(ask.budget.clone()).or_default();
-        account.unmet += ask.want;
+    /// Adds the wanted tokens of an unserved request to the next draw.
+    pub fn record_unmet(&mut self, request: &TokenRequest) {
+        let account = self.accounts.entry(request.budget.clone()).or_default();
+        account.unmet += request.want;
     }
 
-    /// Whether others wanted tokens since the last draw and did not get them.
+    /// Returns whether other daemons requested tokens since the last draw without receiving
+    /// them.
     pub fn has_unmet(&self, budget: &Name) -> bool {
         self.accounts.get(budget).is_some_and(|account| account.unmet > 0)
     }
 
-    /// Hands on a part of what is free here to a peer that can't draw: the store
-    /// is out of its reach, or has none left.
-    pub fn lend(&mut self, ask: &TokenRequest) -> Allotted {
-        let knows_me = ask.owner == Some(self.incarnation);
+    /// Lends a part of the free tokens to a peer that can't draw because the store is
+    /// unreachable for it or has no tokens left.
+    pub fn lend(&mut self, request: &TokenRequest) -> Allotted {
+        let addresses_me = request.owner == Some(self.incarnation);
         let owner = self.incarnation;
-        let account = self.accounts.entry(ask.budget.clone()).or_default();
+        let account = self.accounts.entry(request.budget.clone()).or_default();
         let spare = account.free() / LENT_DIVISOR;
-        let sent = account.sent.entry(ask.holder).or_default();
-        let under_way = if knows_me { sent.saturating_sub(ask.received) } else { 0 };
-        *sent += ask.want.saturating_sub(under_way).min(spare);
+        let sent = account.sent.entry(request.holder).or_default();
+        let in_transit = if addresses_me { sent.saturating_sub(request.received) } else { 0 };
+        *sent += request.want.saturating_sub(in_transit).min(spare);
         Allotted { owner, cumulative: *sent, outlook: None }
     }
 
-    /// Debits all that is free, for a peer that goes on; returns the cumulative sum
-    /// sent to it, which may be told again.
+    /// Debits all free tokens for `receiver`, which keeps running; returns the cumulative sum
+    /// sent to it, which may be reported repeatedly.
     pub fn transfer_all(&mut self, budget: &Name, receiver: Incarnation) -> Tokens {
         self.transfer(budget, receiver, 0, Tokens::MAX)
     }
 
-    /// Takes in what a peer has lent; returns how many tokens are new.
+    /// Records the tokens that a peer has lent; returns how many of them are new.
     pub fn record_loan(&mut self, budget: &Name, lent: Allotted) -> Tokens {
         let before = self.received_from(budget, lent.owner);
         self.record_received(budget, lent.owner, lent.cumulative);
         lent.cumulative.saturating_sub(before)
     }
 
-    /// Takes in what an owner has handed on.
+    /// Records the tokens that an owner has allotted, and its outlook.
     pub fn record_allotted(&mut self, budget: &Name, allotted: Allotted, now: Millis) {
         self.record_received(budget, allotted.owner, allotted.cumulative);
         if let Some(outlook) = allotted.outlook {
@@ -229,8 +233,8 @@
         }
     }
 
-    /// Debits what is free beyond need, to be given back to `owner` by the next
-    /// ask; returns how much.
+    /// Debits the surplus of free tokens for `owner`, to which the next token request reports
+    /// it; returns how many.
     pub fn return_surplus_to_owner(
         &mut self,
         budget: &Name,
@@ -238,12 +242,12 @@
         terms: &DrawTerms,
         now: Millis,
     ) -> Tokens {
-        let terms = self.effective(terms, now);
-        let usual = self.mean_request(now);
+        let terms = self.effective_terms(terms, now);
+        let mean_request = self.mean_request_cost(now);
         let Some(account) = self.accounts.get_mut(budget) else { return 0 };
-        // The owner keeps for needs, and that is another one now.
+        // Only an owner keeps tokens for needs, and another daemon owns the shard now.
         account.kept_for_needs = 0;
-        let surplus = account.surplus(&terms, usual, now);
+        let surplus = account.surplus(&terms, mean_request, now);
         if surplus > 0 {
             *account.sent.entry(owner).or_default() += surplus;
         }
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -1,4 +1,4 @@
-//! What a holder asks the store for, and the terms of it.
+//! Draw requests of a holder to the store, and their terms.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,10 +7,10 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
 
-/// Terms of a budget's row that go along with a draw.
+/// Settings of a budget's row, and the daemon's part in it, that a draw carries.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DrawTerms {
-    /// Tokens that the row allows.
+    /// Tokens that the budget's row allows.
     pub tokens: Tokens,
     /// The row's version.
     pub version: u64,
@@ -18,28 +18,29 @@
     pub horizon_s: f64,
     /// At most 1/`share_divisor` of what is available is drawn at once.
     pub share_divisor: u64,
-    /// At least this part of an equal share, so that a daemon that spends
-    /// little has something in hand when the store is away.
+    /// Fraction of an equal share that is held at least, so that a daemon that spends little
+    /// has tokens when the store is unreachable.
     pub held_ahead: f64,
-    /// Part of what all holders together may keep ([`held_fraction`]) that an owner in a
-    /// large fleet keeps for the others before any spending is known; 0 for the others.
+    /// Fraction of what all holders together may prefetch ([`held_fraction`]) that an owner in
+    /// a large fleet reserves for the other daemons before the spending is known; 0 for
+    /// daemons that own no shard of the budget.
     pub kept_for_others: f64,
-    /// For whom the holder keeps tokens ahead.
+    /// For whom the holder prefetches tokens.
     #[serde(rename = "keeps")]
     pub prefetch: PrefetchScope,
-    /// Daemons that share the budget, as the drawing one knows.
+    /// Number of daemons that share the budget, as known to the drawing one.
     pub daemons: u64,
 }
 
 impl DrawTerms {
-    /// What to give a holder that wants `want` of `available` tokens.
+    /// Returns how many of `available` tokens to grant to a holder that wants `want`.
     pub fn draw_amount(&self, want: Tokens, available: Tokens) -> Tokens {
         want.min(available / self.share_divisor.max(1))
     }
 
-    /// What a holder should have in hand, whatever it spends: a part of an
-    /// equal share of `shared`, and never more than half of what is still
-    /// available.
+    /// Returns how many tokens a holder should hold regardless of its spending: a part of an
+    /// equal share of `shared`, or of what all holders may prefetch if it reserves for others,
+    /// and at most half of `available`.
     pub fn min_held(&self, shared: Tokens, available: Tokens) -> Tokens {
         let equal = shared as f64 / self.daemons.max(1) as f64;
         let for_others = shared as f64 * held_fraction(shared, self.tokens) * self.kept_for_others;
@@ -48,41 +49,41 @@
     }
 }
 
-/// A holder's request for more tokens.
+/// Request of a holder for more tokens of a budget.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Draw {
     /// The budget.
     pub budget: Name,
-    /// Who asks.
+    /// The requesting daemon.
     pub holder: Incarnation,
-    /// Where the holder's peer port listens.
+    /// Address at which the holder listens for peers.
     pub address: String,
-    /// Cumulative grant that the holder knows of.
+    /// Cumulative grant known to the holder.
     pub known_granted: Tokens,
-    /// Cumulative tokens that the holder had from the asked daemon itself.
+    /// Cumulative tokens that the holder has received from the asked daemon itself.
     pub received: Tokens,
-    /// Tokens that the holder has free already; `need` comes on top.
+    /// Tokens that are already free at the holder; `need` is in addition to them.
     pub free: Tokens,
     /// Cumulative tokens of its grant that the holder has opened.
     pub opened: Tokens,
-    /// Who is to attest what the holder opens while the store is away.
+    /// Witnesses that attest what the holder opens while the store is unreachable.
     pub witnesses: Vec<Witness>,
-    /// An earlier start at that address, by the holder's word, which ends with this draw.
+    /// An earlier incarnation at that address, as known to the holder, which this draw ends.
     #[serde(rename = "ends")]
     pub replaced_start: Option<Incarnation>,
-    /// Counts the draws of this holder and budget.
+    /// Sequence number among the draws of this holder and budget.
     pub number: u64,
-    /// Cumulative tokens that the holder has given back to the store; they are
-    /// debited at the holder already.
+    /// Cumulative tokens that the holder has given back to the store; the holder has already
+    /// debited them.
     pub returned: Tokens,
-    /// Fewer tokens than these are of no use.
+    /// Fewest tokens that are of use; 0 for a prefetch.
     pub need: Tokens,
-    /// Tokens that would last for the horizon.
+    /// Tokens requested in all: `need` and the prefetch target.
     pub want: Tokens,
-    /// Tokens to open of them; the rest stays sealed.
+    /// Tokens of these to open at once; the rest stays sealed.
     pub open: Tokens,
-    /// Recent spending of the holder, in tokens a second.
+    /// Recent spending rate of the holder, in tokens per second.
     pub rate: Tokens,
-    /// The budget's row as the holder knows it.
+    /// Terms of the budget's row as known to the holder.
     pub terms: DrawTerms,
 }
--- a/crates/core/src/holder/holdings.rs
+++ b/crates/core/src/holder/holdings.rs
@@ -1,5 +1,5 @@
-//! Where the tokens are that a daemon has drawn: what an operator asks after hosts
-//! were lost, since a process that dies tells nothing.
+//! Totals of the tokens at one daemon, reported regularly so that operators can account
+//! for the tokens of a process that has crashed.
 
 use std::cmp::Reverse;
 use std::fmt;
@@ -9,12 +9,12 @@
 use crate::holder::Holder;
 use crate::{Millis, Name, Tokens};
 
-/// How many attempts have tokens set aside, and for how long.
+/// Number and mean age of the attempts that have tokens reserved.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct RunningAttempts {
-    /// Attempts.
+    /// Number of running attempts.
     pub count: u64,
-    /// Sum of the times at which they began, each in milliseconds since the start.
+    /// Sum of their start times, each in milliseconds on the daemon's clock.
     began_sum: Millis,
 }
 
@@ -34,46 +34,46 @@
         self.began_sum += other.began_sum;
     }
 
-    /// Mean age in milliseconds; 0 when none runs.
+    /// Returns the mean age in milliseconds; 0 when none is running.
     pub fn mean_age(&self, now: Millis) -> Millis {
         let began = self.began_sum.checked_div(self.count);
         began.map_or(0, |began| now.saturating_sub(began))
     }
 }
 
-/// Sums over all budgets of one daemon, in tokens. What came in (`granted`,
-/// `received`) is what went out (`returned`, `sent`, `spent`) and what is here
-/// (`reserved`, `free`, `sealed`).
+/// Sums over all budgets of one daemon, in tokens. The credits (`granted`, `received`)
+/// equal the debits (`returned`, `sent`, `spent`) plus what is held (`reserved`, `free`,
+/// `sealed`).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Holdings {
     /// Granted by the store.
     pub granted: Tokens,
-    /// Come from other daemons.
+    /// Received from other daemons.
     pub received: Tokens,
     /// Given back to the store.
     pub returned: Tokens,
-    /// Gone to other daemons.
+    /// Sent to other daemons.
     pub sent: Tokens,
-    /// Spent by attempts that have ended.
+    /// Spent by finished attempts.
     pub spent: Tokens,
-    /// Set aside for attempts that run.
+    /// Reserved for running attempts.
     pub reserved: Tokens,
-    /// Free to be set aside.
+    /// Free to be reserved.
     pub free: Tokens,
-    /// Granted, but not yet open.
+    /// Granted but not yet opened.
     pub sealed: Tokens,
-    /// Attempts that run.
+    /// Running attempts.
     pub running: RunningAttempts,
 }
 
-/// What is held of one budget.
+/// Tokens of one budget held at this daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BudgetHolding {
     /// The budget.
     pub budget: Name,
-    /// Free or sealed.
+    /// Free and sealed tokens.
     pub unspent: Tokens,
-    /// Set aside for attempts that run.
+    /// Tokens reserved for running attempts.
     pub reserved: Tokens,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Holder {
-    /// The budgets of which most is held, at most `count` of them, the most first.
+    /// Returns up to `count` budgets with the most tokens held, in descending order.
     pub fn largest_holdings(&self, count: usize) -> Vec<BudgetHolding> {
         let held = self.accounts.iter().map(|(budget, account)| BudgetHolding {
             budget: budget.clone(),
@@ -93,17 +93,17 @@
         });
         let mut held: Vec<BudgetHolding> =
             held.filter(|held| held.unspent + held.reserved > 0).collect();
-        let most_first = |held: &BudgetHolding| Reverse(held.unspent + held.reserved);
+        let descending = |held: &BudgetHolding| Reverse(held.unspent + held.reserved);
         if count < held.len() {
-            // A daemon may have 39,000 budgets: only those that are told get sorted.
-            held.select_nth_unstable_by_key(count, most_first);
+            // A daemon may have 39,000 budgets: only the reported ones are sorted.
+            held.select_nth_unstable_by_key(count, descending);
             held.truncate(count);
         }
-        held.sort_by_key(most_first);
+        held.sort_by_key(descending);
         held
     }
 
-    /// Where all tokens are that this daemon ever had.
+    /// Returns the totals over all budgets of this daemon.
     pub fn holdings(&self) -> Holdings {
         let mut sum = Holdings::default();
         for account in self.accounts.values() {
--- a/crates/core/src/holder/rate.rs
+++ b/crates/core/src/holder/rate.rs
@@ -1,4 +1,4 @@
-//! How fast a budget is spent at this daemon.
+//! Exponentially decaying rate of tokens or requests.
 
 use serde::Serialize;
 
@@ -7,11 +7,11 @@
 /// Time constant of the spending rate, in milliseconds.
 const RATE_WINDOW_MS: f64 = 10_000.0;
 
-/// Spending is judged over this time at least, in milliseconds: one request
-/// alone says little of a rate.
-const SHORTEST_WINDOW_MS: f64 = 4_000.0;
+/// Shortest time over which a rate is averaged, in milliseconds: one request alone does
+/// not indicate a rate.
+const MIN_WINDOW_MS: f64 = 4_000.0;
 
-/// An exponentially decaying rate.
+/// An exponentially decaying rate of counted units.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub(super) struct Rate {
     sum: f64,
@@ -20,30 +20,30 @@
 }
 
 impl Rate {
-    /// Counts tokens spent now.
+    /// Counts `tokens` at the time `now`.
     pub(super) fn add(&mut self, tokens: Tokens, now: Millis) {
         self.sum = self.decayed(now) + tokens as f64;
         self.at = now;
         self.since.get_or_insert(now);
     }
 
-    /// Counts what a level fell by, or takes off what it rose by.
+    /// Counts the decrease of a level from `before` to `level`, or subtracts its increase.
     pub(super) fn record_drop(&mut self, before: Tokens, level: Tokens, now: Millis) {
         self.add(before.saturating_sub(level), now);
         self.sum = (self.sum - level.saturating_sub(before) as f64).max(0.0);
     }
 
-    /// Time since something was counted last, in milliseconds.
+    /// Returns the time since the last count, in milliseconds.
     pub(super) fn idle_ms(&self, now: Millis) -> Millis {
         now.saturating_sub(self.at)
     }
 
-    /// Tokens a second, of late.
+    /// Returns the recent rate per second.
     pub(super) fn per_second(&self, now: Millis) -> f64 {
         self.decayed(now) * 1000.0 / self.window(now)
     }
 
-    /// Tokens a second once `tokens` are spent now.
+    /// Returns the rate per second as if `tokens` were counted now.
     pub(super) fn per_second_with(mut self, tokens: Tokens, now: Millis) -> f64 {
         self.add(tokens, now);
         self.per_second(now)
@@ -54,11 +54,11 @@
         self.sum * (-age / RATE_WINDOW_MS).exp()
     }
 
-    /// The time that the sum stands for: less than the whole window while the
-    /// first spending is not long past.
+    /// Returns the time span that the sum covers, in milliseconds: less than the whole window
+    /// shortly after the first count.
     fn window(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.since.unwrap_or(now)) as f64;
-        let seen = RATE_WINDOW_MS * (1.0 - (-age / RATE_WINDOW_MS).exp());
-        seen.max(SHORTEST_WINDOW_MS)
+        let covered = RATE_WINDOW_MS * (1.0 - (-age / RATE_WINDOW_MS).exp());
+        covered.max(MIN_WINDOW_MS)
     }
 }
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -1,46 +1,47 @@
-//! What is known of a budget as a whole, and how much of its rest one request may take.
+//! Rationing: the most that one request may reserve of what is left of a budget.
 //!
-//! Near a budget's end a request of 15,000 tokens takes the place of ten small ones. Let
-//! in by the order in which they come, the large ones take nearly all of what is left
-//! within seconds, and nobody is served until the next top-up.
+//! Near a budget's end a request of 15,000 tokens displaces ten small ones. Admitted in
+//! order of arrival, the large requests take nearly all of what is left within seconds,
+//! and no request is served until the next top-up.
 
 use serde::{Deserialize, Serialize};
 
 use crate::holder::{Account, Holder};
 use crate::{Millis, Name, Tokens};
 
-/// Ranks below this one count as this one, eight times the window: by doubling further,
-/// the least urgent of ten ranks would be refused while most of a budget is left.
+/// Less urgent ranks count as this one, which has eight times the window: with further
+/// doubling the least urgent of ten ranks would be refused while most of a budget is left.
 const MAX_RANK: u32 = 3;
 
-/// A budget as its ledger, or its shard's owner, saw it last.
+/// State of a budget as last reported by its ledger or its shard's owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outlook {
-    /// What the holder that is told may keep ahead, in tokens.
+    /// Most tokens that the receiving holder may prefetch.
     pub share: Tokens,
-    /// Tokens that nobody holds.
+    /// Tokens that no daemon holds.
     pub left: Tokens,
 }
 
-/// What a request asks of its budget.
+/// Cost, rank and rationing window of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RequestDemand {
-    /// The most that it may cost, in tokens.
+    /// Most tokens that it may cost.
     pub tokens: Tokens,
-    /// How urgent the table calls it: 0 is the most urgent.
+    /// Urgency rank by the table; 0 is the most urgent.
     pub rank: u32,
-    /// How long the callers are expected for who share what is left, in seconds.
+    /// Window whose expected requests share what is left, in seconds.
     pub ration_s: f64,
 }
 
-/// An outage is as likely as not to be over within the time that it has lasted, so that
-/// what is in reach counts so many times in it: more is refused otherwise than is missing
-/// at the end.
+/// Factor by which the free tokens count during an outage of the store. The outage is as
+/// likely as not to end within the time that it has lasted; without the factor more is
+/// refused than is missing at its end.
 const OUTAGE_FACTOR: Tokens = 2;
 
 impl Holder {
-    /// The most that the request behind an ask may take, as the owner sees the budget
-    /// ([`Holder::ration`]); what the store has left is out of reach while it is away.
+    /// Returns the most that the caller's request behind a token request may reserve
+    /// ([`Holder::ration`]), as the owner sees the budget. While the store is unreachable, the
+    /// tokens left with it do not count.
     pub fn ration_for(
         &self,
         budget: &Name,
@@ -52,10 +53,10 @@
         let Some(outlook) = account.outlook else { return Tokens::MAX };
         let free = account.free();
         let left = if is_store_away { free * OUTAGE_FACTOR } else { outlook.left + free };
-        self.equal_part(account, left, demand, now)
+        self.equal_share(account, left, demand, now)
     }
 
-    fn equal_part(
+    fn equal_share(
         &self,
         account: &Account,
         left: Tokens,
@@ -67,11 +68,12 @@
         (left as f64 / expected.max(1.0)) as Tokens
     }
 
-    /// Requests a second of one budget that the whole fleet lets in: what it takes, by the
-    /// mean request here. Of one budget alone a daemon of a large fleet sees too few.
+    /// Returns the requests per second of one budget that the whole fleet admits: the fleet's
+    /// rate of tokens divided by the mean request here over all budgets, since one daemon of a
+    /// large fleet gets too few requests of one budget.
     fn fleet_requests_per_second(&self, account: &Account, now: Millis) -> f64 {
-        let through_here = account.rate.per_second(now) + account.allotted_rate.per_second(now);
-        let fleet_rate = account.fleet_rate.per_second(now).max(through_here);
+        let local_rate = account.rate.per_second(now) + account.allotted_rate.per_second(now);
+        let fleet_rate = account.fleet_rate.per_second(now).max(local_rate);
         let asked_for = self.asked_for.per_second(now);
         if asked_for == 0.0 {
             return 0.0;
@@ -79,25 +81,25 @@
         fleet_rate * self.requests.per_second(now) / asked_for
     }
 
-    /// The most that one request may set aside: an equal part of what is left, among the
-    /// requests that are expected within `ration_s` seconds, and within twice as long
-    /// for each `rank` below the most urgent (0). Without limit while nothing is known.
+    /// Returns the most that one request may reserve: an equal part of what is left among the
+    /// requests expected within `ration_s` seconds, a window that doubles with each `rank`
+    /// below the most urgent (0). Unlimited while no outlook is known.
     pub fn ration(&self, budget: &Name, ration_s: f64, rank: u32, now: Millis) -> Tokens {
         let demand = RequestDemand { tokens: 0, rank, ration_s };
         self.ration_for(budget, &demand, false, now)
     }
 
-    /// Takes in what is known of a budget as a whole.
+    /// Records the reported state of a budget.
     pub fn set_outlook(&mut self, budget: &Name, outlook: Outlook, now: Millis) {
         let account = self.accounts.entry(budget.clone()).or_default();
-        // What daemons draw ahead and give back again is not taken.
+        // Tokens that daemons prefetch and give back again are not counted as used.
         let before = account.outlook.map_or(outlook.left, |before| before.left);
         account.fleet_rate.record_drop(before, outlook.left, now);
         account.outlook = Some(outlook);
         account.outlook_at = now;
     }
 
-    /// How old that is, in milliseconds; none when nothing is known.
+    /// Returns the age of that state, in milliseconds; none when no outlook is known.
     pub fn outlook_age(&self, budget: &Name, now: Millis) -> Option<Millis> {
         let account = self.accounts.get(budget)?;
         account.outlook.map(|_| now.saturating_sub(account.outlook_at))
--- a/crates/core/src/holder/statement.rs
+++ b/crates/core/src/holder/statement.rs
@@ -1,4 +1,4 @@
-//! Where all tokens of one budget are, for operators.
+//! Statement of a budget for operators: where all its tokens are.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,51 +6,53 @@
 use crate::shard::Ledger;
 use crate::{Incarnation, Name, Tokens};
 
-/// What one daemon says of a budget.
+/// Tokens of a budget at one daemon, as reported by it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonHolding {
     /// The budget.
     pub budget: Name,
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: Name,
-    /// The start of it.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Tokens spent by attempts that have ended there.
+    /// Tokens spent by attempts that have finished there.
     pub spent: Tokens,
-    /// Set aside there for attempts that run.
+    /// Tokens reserved there for running attempts.
     pub reserved: Tokens,
-    /// Held there and not spent, whether open or sealed.
+    /// Unspent tokens held there, open or sealed.
     pub held: Tokens,
 }
 
 /// Where all tokens of a budget are: the parts add up to the total.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// Tokens that may be spent in all.
+    /// Tokens of the budget in all.
     pub total: Tokens,
-    /// In the store, with nobody.
+    /// Tokens in the store that are granted to no daemon.
     pub not_granted: Tokens,
-    /// Spent by attempts that have ended at daemons that answer.
+    /// Tokens spent by finished attempts at daemons that answered.
     pub spent: Tokens,
-    /// Set aside for attempts that run.
+    /// Tokens reserved for running attempts.
     pub reserved: Tokens,
-    /// Held by daemons that answer, and not spent.
+    /// Unspent tokens held by daemons that answered.
     pub held: Tokens,
-    /// Kept by starts of daemons that have ended: spent, or lost with them.
+    /// Tokens kept by incarnations that have ended: spent, or lost with them.
     pub ended: i64,
-    /// Granted to starts that did not answer: spent, held or lost there.
+    /// Tokens granted to incarnations that did not answer: spent, held or lost there.
     #[serde(rename = "silent")]
     pub unanswered: Tokens,
-    /// What is left: on its way between daemons and the store, or handed on to a daemon that
-    /// did not answer. Below zero while a daemon was asked before tokens came to it.
+    /// The remainder: tokens in transit between daemons and the store, or allotted to a daemon
+    /// that did not answer. Negative when tokens moved on, to the store or to another daemon,
+    /// after their holder had answered.
     #[serde(rename = "on_the_way")]
     pub in_transit: i64,
-    /// The daemons that answered and had anything of it.
+    /// Reports of the daemons that have any tokens of it.
     pub holders: Vec<DaemonHolding>,
 }
 
 impl Statement {
-    /// What the store says, and what daemons said just before.
+    /// Computes the statement from the daemons' reports and the store's ledger, which was read
+    /// just after them.
     pub fn new(ledger: &Ledger, mut holders: Vec<DaemonHolding>) -> Self {
         let sum = |part: fn(&DaemonHolding) -> Tokens| holders.iter().map(part).sum::<Tokens>();
         let (spent, reserved, held) =
@@ -60,12 +62,12 @@
         let unanswered = ledger.grants.iter().filter(|(start, _)| !has_answered(start));
         let unanswered =
             unanswered.map(|(_, grant)| grant.granted.saturating_sub(grant.returned)).sum();
-        // What a start that has ended kept is in the ledger, whether or not it still answers.
+        // The ledger includes what an ended incarnation kept, whether or not it still answers.
         let is_ended = |one: &&DaemonHolding| ledger.retired_holders.contains(&one.incarnation);
-        let told_twice: Tokens = holders.iter().filter(is_ended).map(|one| one.spent).sum();
-        let ended = ledger.retired - told_twice as i64;
-        let there = spent + reserved + held + unanswered;
-        let in_transit = ledger.committed() - ended - there as i64;
+        let counted_twice: Tokens = holders.iter().filter(is_ended).map(|one| one.spent).sum();
+        let ended = ledger.retired - counted_twice as i64;
+        let at_daemons = spent + reserved + held + unanswered;
+        let in_transit = ledger.committed() - ended - at_daemons as i64;
         holders.retain(|one| one.spent + one.reserved + one.held > 0);
         holders.sort_by(|a, b| a.daemon.cmp(&b.daemon));
         Statement {
@@ -81,20 +83,20 @@
         }
     }
 
-    /// What is neither spent nor known to be left: set aside, on its way, or with daemons that
-    /// have ended or did not answer.
+    /// Returns the tokens that are neither spent nor known to be available: reserved, in
+    /// transit, or at daemons that have ended or did not answer.
     pub fn unaccounted(&self) -> i64 {
         self.total as i64 - self.spent as i64 - self.left() as i64
     }
 
-    /// What may still be spent, as far as it is known where it is.
+    /// Returns the tokens that are known to be available for spending.
     pub fn left(&self) -> Tokens {
         self.not_granted + self.held
     }
 }
 
 impl Holder {
-    /// What this daemon holds and has spent of a budget.
+    /// Returns what this daemon holds and has spent of a budget.
     pub fn holding(&self, daemon: &Name, incarnation: Incarnation, budget: &Name) -> DaemonHolding {
         let account = self.accounts.get(budget);
         DaemonHolding {
