--- a/crates/core/src/edit.rs
+++ b/crates/core/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the table: each names rows and the row versions it was made from.
+//! Edits of the table. Each edit lists rows and the row versions that it is based on.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -8,37 +8,37 @@
 use crate::table_check::check;
 use crate::{Error, Name, Result};
 
-/// One row of an edit.
+/// Edit of one row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowEdit {
-    /// The sheet: halls, workspaces, budgets, servers, routes or services.
+    /// Sheet of the row: halls, workspaces, budgets, servers, routes or services.
     pub sheet: String,
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// Version of the row that the edit was made from; 0 for a new row.
+    /// Version of the row that the edit is based on; 0 for a new row.
     pub from_version: u64,
-    /// The whole new row; none removes it.
+    /// The new row as a whole; none removes it.
     pub row: Option<Value>,
 }
 
-/// Rows that change together, or not at all.
+/// Row edits that are applied together or not at all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// Identity of the change, made by the operator's client.
+    /// Identifier of the change, chosen by the operator's client.
     pub id: String,
-    /// Who asks for it.
+    /// User who requests it.
     pub who: String,
-    /// The rows.
+    /// The row edits.
     pub rows: Vec<RowEdit>,
 }
 
-/// Applies `edit` to `table` and checks the outcome as a whole.
+/// Returns `table` with `edit` applied, after checking the new table as a whole.
 ///
 /// # Errors
-/// [`Error::RowConflict`] when a row has changed since, [`Error::RowShape`]
-/// when a row can't be read, [`Error::Table`] when the outcome has faults.
+/// [`Error::RowConflict`] when a row has changed since, [`Error::RowShape`] when
+/// a row can't be parsed, [`Error::Table`] when the new table has faults.
 pub fn apply(table: &Table, edit: &Edit, now_s: u64) -> Result<Table> {
     let mut next = table.clone();
     for row in &edit.rows {
@@ -58,7 +58,7 @@
     Ok(next)
 }
 
-/// The edit that turns `from` into `to`, row by row.
+/// Returns the edit that turns `from` into `to`.
 pub fn difference(from: &Table, to: &Table, id: String, who: String) -> Edit {
     let mut rows = Vec::new();
     difference_of_sheet(&from.halls, &to.halls, &mut rows);
@@ -71,8 +71,8 @@
 }
 
 fn apply_row(table: &mut Table, edit: &RowEdit) -> Result<()> {
-    // A row's version is the revision that wrote it: it never comes twice,
-    // not even for a row that is removed and added again.
+    // A row's version is the table revision that wrote it, so a version never repeats, not
+    // even for a row that is removed and added again.
     let revision = table.revision + 1;
     match edit.sheet.as_str() {
         "halls" => apply_to_sheet(&mut table.halls, edit, revision),
@@ -95,8 +95,8 @@
     edit: &RowEdit,
     revision: u64,
 ) -> Result<()> {
-    let place = rows.iter().position(|row| *row.name() == edit.name);
-    let found = place.map_or(0, |index| rows[index].version());
+    let position = rows.iter().position(|row| *row.name() == edit.name);
+    let found = position.map_or(0, |index| rows[index].version());
     if found != edit.from_version {
         return Err(Error::RowConflict {
             sheet: R::SHEET.to_owned(),
@@ -106,21 +106,21 @@
         });
     }
     let Some(value) = &edit.row else {
-        if let Some(index) = place {
+        if let Some(index) = position {
             rows.remove(index);
         }
         return Ok(());
     };
-    let mut row = read_row::<R>(value, &edit.name)?;
+    let mut row = parse_row::<R>(value, &edit.name)?;
     row.set_version(revision);
-    match place {
+    match position {
         Some(index) => rows[index] = row,
         None => rows.push(row),
     }
     Ok(())
 }
 
-fn read_row<R: Row + DeserializeOwned>(value: &Value, name: &Name) -> Result<R> {
+fn parse_row<R: Row + DeserializeOwned>(value: &Value, name: &Name) -> Result<R> {
     let fault = |problem: String| Error::RowShape {
         sheet: R::SHEET.to_owned(),
         row: name.to_string(),
@@ -135,17 +135,17 @@
 
 fn difference_of_sheet<R: Row + PartialEq>(from: &[R], to: &[R], edits: &mut Vec<RowEdit>) {
     for wanted in to {
-        let present = from.iter().find(|row| row.name() == wanted.name());
-        let from_version = present.map_or(0, Row::version);
+        let current = from.iter().find(|row| row.name() == wanted.name());
+        let from_version = current.map_or(0, Row::version);
         let mut row = wanted.clone();
         row.set_version(from_version);
-        if present != Some(&row) {
+        if current != Some(&row) {
             edits.push(row_edit(wanted, from_version, serde_json::to_value(&row).ok()));
         }
     }
-    for present in from {
-        if !to.iter().any(|row| row.name() == present.name()) {
-            edits.push(row_edit(present, present.version(), None));
+    for current in from {
+        if !to.iter().any(|row| row.name() == current.name()) {
+            edits.push(row_edit(current, current.version(), None));
         }
     }
 }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table: halls, workspaces, budgets, backend servers, routes.
+//! The operators' table: halls, workspaces, budgets, backend servers, routes, services.
 
 mod route;
 mod server;
@@ -12,37 +12,37 @@
 
 use crate::{Name, Tokens};
 
-/// Hours of a day, for weights that follow the sun.
+/// Number of entries in a list of hourly weights.
 pub const HOURS_PER_DAY: usize = 24;
 
-/// How many of the last changes the table remembers.
+/// Number of recent changes that the table keeps.
 pub const HISTORY_LENGTH: usize = 128;
 
-/// A place with backend servers in it.
+/// A location with backend servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// Share of work that this hall draws, against the other halls.
+    /// Weight of this hall in the distribution of requests among halls.
     #[serde(default = "one_weight")]
     pub weight: f64,
-    /// Weight in each hour of the day (UTC), in place of `weight`; 24 numbers.
+    /// Weight in each hour of the day (UTC), instead of `weight`; 24 numbers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub weights_by_hour: Vec<f64>,
-    /// Whether its servers take new work; what runs there goes on in any case.
+    /// Whether its servers accept new requests; running ones continue in any case.
     #[serde(default, skip_serializing_if = "ServerState::is_serving")]
     pub state: ServerState,
-    /// The region that it lies in, for homes of routes and workspaces.
+    /// Region of the hall, to which the `homes` of routes and workspaces refer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<Name>,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
 
 impl Hall {
-    /// A hall that only the platform names.
+    /// Returns a hall with default settings for a name that only the platform's list has.
     pub fn from_platform(name: Name) -> Self {
         Hall {
             name,
@@ -55,47 +55,47 @@
     }
 }
 
-/// A customer, with the keys that its callers show.
+/// A customer and the keys of its callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// SHA-256 of each bearer key, in 64 hexadecimal digits.
+    /// SHA-256 of each bearer key, as 64 hexadecimal digits.
     pub keys_sha256: Vec<String>,
-    /// The budget of requests that name none.
+    /// Budget of requests that specify none.
     pub default_budget: Name,
-    /// Higher goes first at the engine, before the priority of the route.
+    /// Engine priority of its requests, compared before the route's; higher runs first.
     #[serde(default)]
     pub priority: i32,
-    /// Regions whose servers may serve it; with none all may.
+    /// Regions whose servers may serve it; all when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub homes: Vec<Name>,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
 
-/// Which error a budget's owner minds more.
+/// What a daemon does before it refuses a request for lack of tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShortagePolicy {
-    /// Answer at once, also while running requests may still give tokens back.
+    /// Refuses at once, even though running requests may still give tokens back.
     #[default]
     Refuse,
-    /// Count the prompt exactly where a server can, before refusing.
+    /// Has a server count the prompt's tokens exactly, if one can, before it refuses.
     Count,
 }
 
-/// A prepaid sum of tokens.
+/// A prepaid amount of tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// The workspace that spends it.
+    /// Workspace that spends it.
     pub workspace: Name,
-    /// Tokens allowed by this row; top-ups add to it.
+    /// Tokens allowed by this row, to which top-ups are added.
     pub tokens: Tokens,
     /// How far ahead a daemon draws, in seconds of its own recent spending.
     #[serde(default = "default_horizon_s")]
@@ -103,21 +103,20 @@
     /// A daemon draws at most 1/`share_divisor` of what is not yet granted.
     #[serde(default = "default_share_divisor")]
     pub share_divisor: u64,
-    /// Part of an equal share that each daemon draws at least, 0 to 1: more
-    /// keeps more at hand for an outage of the store, and strands more with a
-    /// host that dies.
+    /// Fraction of an equal share that each daemon has_key at least, 0 to 1. A higher value
+    /// leaves more tokens usable during a store outage, and loses more with a crashed host.
     #[serde(default = "default_held_ahead")]
     pub held_ahead: f64,
-    /// What a daemon does before it refuses.
+    /// What a daemon does before it refuses a request for lack of tokens.
     #[serde(default)]
     pub when_short: ShortagePolicy,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
 
 impl Budget {
-    /// The only budget of a workspace, named like it, drawn on as by default.
+    /// Returns the only budget of a workspace, with its name and the default settings.
     pub fn for_workspace(workspace: Name, tokens: Tokens, version: u64) -> Self {
         Budget {
             name: workspace.clone(),
@@ -132,15 +131,14 @@
     }
 }
 
-/// Something with a name and a version: a row of any sheet.
+/// A row of any sheet, with a name and a version.
 pub trait Row: Clone + Serialize {
-    /// The sheet's name as operators write it.
+    /// Name of the sheet in edits.
     const SHEET: &'static str;
-    /// The row's name.
+    /// Returns the name of the row.
     fn name(&self) -> &Name;
-    /// Revision of the table that wrote the row last.
+    /// Returns the table revision that last wrote the row.
     fn version(&self) -> u64;
-    /// Puts the version.
     fn set_version(&mut self, version: u64);
 }
 
@@ -168,18 +166,18 @@
 row!(Route, "routes");
 row!(Service, "services");
 
-/// One accepted change, as the table remembers it.
+/// An accepted change in the table's history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Identity that the operator's client gave it.
+    /// Identifier chosen by the operator's client.
     pub id: String,
-    /// Revision of the table that it made.
+    /// Table revision that it produced.
     pub revision: u64,
-    /// Who asked for it.
+    /// User who requested it.
     pub who: String,
-    /// When it was accepted, in seconds since 1970.
+    /// Time of its acceptance, in seconds since 1970.
     pub when_s: u64,
-    /// Rows that it touched, as "sheet/name".
+    /// Rows that it changed, as "sheet/name".
     pub rows: Vec<String>,
 }
 
@@ -187,53 +185,53 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    /// Counts the accepted changes; never falls.
+    /// Number of accepted changes; never decreases.
     #[serde(default)]
     pub revision: u64,
-    /// Places.
+    /// Locations of backend servers.
     #[serde(default)]
     pub halls: Vec<Hall>,
     /// Customers.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// Prepaid sums.
+    /// Prepaid amounts of tokens.
     #[serde(default)]
     pub budgets: Vec<Budget>,
     /// Backend servers.
     #[serde(default)]
     pub servers: Vec<Server>,
-    /// Ways to the servers.
+    /// Routes from requests to servers.
     #[serde(default)]
     pub routes: Vec<Route>,
     /// Services whose servers the platform lists.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<Service>,
-    /// What callers may send; the daemon's own settings when left out.
+    /// Limits on callers' requests; the daemon's own settings when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller_limits: Option<CallerLimits>,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub history: Vec<Change>,
 }
 
 impl Table {
-    /// The budget of this name.
+    /// Returns the budget with this name.
     pub fn budget(&self, name: &Name) -> Option<&Budget> {
         self.budgets.iter().find(|row| row.name == *name)
     }
 
-    /// The server of this name.
+    /// Returns the server with this name.
     pub fn server(&self, name: &Name) -> Option<&Server> {
         self.servers.iter().find(|row| row.name == *name)
     }
 
-    /// The workspace whose keys hold this hash.
+    /// Returns the workspace that has a key with this SHA-256.
     pub fn workspace_by_key(&self, sha256: &str) -> Option<&Workspace> {
-        let holds = |row: &&Workspace| row.keys_sha256.iter().any(|key| key == sha256);
-        self.workspaces.iter().find(holds)
+        let has_key = |row: &&Workspace| row.keys_sha256.iter().any(|key| key == sha256);
+        self.workspaces.iter().find(has_key)
     }
 
-    /// The route that serves this model.
+    /// Returns the route that serves this model.
     pub fn route_for_model(&self, wanted: &str) -> Option<&Route> {
         self.routes.iter().find(|row| match &row.target {
             RouteTarget::Model { model } => model.as_str() == wanted,
@@ -241,20 +239,20 @@
         })
     }
 
-    /// The service route with the longest prefix of this path.
+    /// Returns the service route with the longest prefix of this path.
     pub fn route_for_path(&self, path: &str) -> Option<&Route> {
-        let fitting = self.routes.iter().filter_map(|row| match &row.target {
+        let matching = self.routes.iter().filter_map(|row| match &row.target {
             RouteTarget::Service { path_prefix, .. } if path.starts_with(path_prefix.as_str()) => {
                 Some((path_prefix.len(), row))
             }
             _ => None,
         });
-        fitting.max_by_key(|(length, _)| *length).map(|(_, row)| row)
+        matching.max_by_key(|(length, _)| *length).map(|(_, row)| row)
     }
 
-    /// The route of this host with the longest prefix of this path.
+    /// Returns the route of this host with the longest prefix of this path.
     pub fn route_for_host(&self, wanted: &str, path: &str) -> Option<&Route> {
-        let fitting = self.routes.iter().filter_map(|row| match &row.target {
+        let matching = self.routes.iter().filter_map(|row| match &row.target {
             RouteTarget::Host { host, path_prefix, .. }
                 if host == wanted && path.starts_with(path_prefix.as_str()) =>
             {
@@ -262,26 +260,26 @@
             }
             _ => None,
         });
-        fitting.max_by_key(|(length, _)| *length).map(|(_, row)| row)
+        matching.max_by_key(|(length, _)| *length).map(|(_, row)| row)
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &Name) -> Option<&Service> {
         self.services.iter().find(|row| row.name == *name)
     }
 
-    /// The workspace of this name.
+    /// Returns the workspace with this name.
     pub fn workspace(&self, name: &Name) -> Option<&Workspace> {
         self.workspaces.iter().find(|row| row.name == *name)
     }
 
-    /// The change of this identity, when the table still remembers it.
+    /// Returns the change with this identifier, if it is still in the history.
     pub fn change(&self, id: &str) -> Option<&Change> {
         self.history.iter().find(|change| change.id == id)
     }
 }
 
-/// Rows weigh the same unless they say otherwise.
+/// Default weight of a row.
 fn one_weight() -> f64 {
     1.0
 }
--- a/crates/core/src/table/route.rs
+++ b/crates/core/src/table/route.rs
@@ -1,96 +1,96 @@
-//! Rows of routes: ways from a caller's request to backend servers.
+//! Rows of routes, which assign callers' requests to backend servers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::table::one_weight;
 use crate::{Name, Tokens};
 
-/// A part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceShare {
-    /// The service that takes this part.
+    /// Service that gets this share.
     pub service: Name,
-    /// Its part, against the route's other shares.
+    /// Weight relative to the route's other shares.
     #[serde(default = "one_weight")]
     pub weight: f64,
 }
 
-/// What a route leads to.
+/// The requests that a route matches and the servers that serve them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "to", rename_all = "snake_case")]
 pub enum RouteTarget {
-    /// Servers that serve this model, by the chat-completions interface.
+    /// Servers of a model, for requests to the chat-completions interface.
     Model {
-        /// The model that callers ask for.
+        /// Model that callers request.
         model: Name,
     },
-    /// Plain services, by the first part of the path.
+    /// Plain services, matched by a path prefix.
     Service {
-        /// Paths that begin so are led to `servers`.
+        /// Prefix of the paths that are routed to `servers`.
         path_prefix: String,
-        /// The plain services.
+        /// Names of the plain services.
         servers: Vec<Name>,
     },
-    /// Services whose servers the platform lists, by the caller's `Host` header
-    /// and the first part of the path.
+    /// Services whose servers the platform lists, matched by the `Host` header
+    /// and a path prefix.
     Host {
-        /// The host that callers name.
+        /// Value of the `Host` header.
         host: String,
-        /// Paths that begin so are led to `split`; the longest one wins.
+        /// Prefix of the paths that are routed to `split`; the longest match wins.
         path_prefix: String,
-        /// The services, each with its part.
+        /// Services and their shares.
         split: Vec<ServiceShare>,
     },
 }
 
-/// A way from a caller's request to backend servers.
+/// Assignment of callers' requests to backend servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// What it leads to.
+    /// Requests that it matches, and the servers that serve them.
     #[serde(flatten)]
     pub target: RouteTarget,
-    /// Output limit of callers that give none, and the most that one may ask.
+    /// Output limit of requests that specify none, and the highest one allowed, in tokens.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
-    /// Price of one call of a plain service, in tokens.
+    /// Price of one call to a plain service, in tokens.
     #[serde(default)]
     pub call_tokens: Tokens,
-    /// Higher goes first at the engine.
+    /// Engine priority of its requests; higher runs first.
     #[serde(default)]
     pub priority: i32,
-    /// Whether a request may run again when its outcome is not known.
+    /// Whether a request may be run again when its outcome is unknown.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Longest time for the whole request, in milliseconds.
+    /// Time limit of the whole request, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Servers that one request may be sent to, at most.
+    /// Maximum number of servers to which one request is sent.
     #[serde(default = "default_max_tries")]
     pub max_tries: u32,
-    /// Time within which an answer (of a stream its first event) is of full
-    /// use to the caller, in milliseconds; 0 when that is not known.
+    /// Time within which an answer, or the first event of a stream, is of full
+    /// use to the caller, in milliseconds; 0 when unknown.
     #[serde(default)]
     pub goal_ms: u64,
     /// Longest time between two events of a stream that is of full use to the
-    /// caller, in milliseconds; none when that is not known.
+    /// caller, in milliseconds; none when unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pause_goal_ms: Option<u64>,
-    /// Whether callers need no key.
+    /// Whether callers may omit the key.
     #[serde(default)]
     pub public: bool,
     /// Whether the answer is a stream of events.
     #[serde(default)]
     pub streams: bool,
-    /// Whether a broken stream may go on at another server.
+    /// Whether an interrupted stream may be resumed at another server.
     #[serde(default)]
     pub resumable: bool,
-    /// Regions whose servers may serve it; with none all may.
+    /// Regions whose servers may serve it; all when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub homes: Vec<Name>,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
--- a/crates/core/src/table/server.rs
+++ b/crates/core/src/table/server.rs
@@ -5,40 +5,40 @@
 use crate::table::one_weight;
 use crate::{Millis, Name};
 
-/// What kind of work a backend server does.
+/// Kind of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerKind {
-    /// A language-model runner with the chat-completions interface.
+    /// A language-model server with the chat-completions interface.
     Model,
     /// A plain HTTP service.
     Service,
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server, or a hall, accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// It takes new work.
+    /// Accepts new requests.
     #[default]
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes running requests and accepts no new ones.
     Draining,
 }
 
 impl ServerState {
-    /// Whether it takes new work.
+    /// Returns whether new requests are accepted.
     pub fn is_serving(&self) -> bool {
         *self == ServerState::Serving
     }
 }
 
-/// What the platform's list tells of a server besides its row.
+/// State of a server from the platform's list that its row does not contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ListedState {
-    /// When this start of it began, in milliseconds since 1970; 0 where nobody tells.
+    /// Start time of its process, in milliseconds since 1970; 0 when unknown.
     pub started_ms: Millis,
-    /// Until when it is cold, by this daemon's clock.
+    /// Time until which it is cold, on this daemon's clock.
     pub cold_until: Millis,
 }
 
@@ -46,33 +46,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// The hall that it stands in.
+    /// Hall that contains it.
     pub hall: Name,
-    /// Its address, IP number and port.
+    /// Its IP address and port.
     pub address: String,
-    /// What kind of work it does.
+    /// Kind of the server.
     pub kind: ServerKind,
-    /// Models that it serves; only for model servers.
+    /// Models that it serves; model servers only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<Name>,
-    /// Share of its hall's work, against the hall's other servers.
+    /// Weight relative to the hall's other servers.
     #[serde(default = "one_weight")]
     pub weight: f64,
-    /// Requests that one daemon may have open there at once.
+    /// Maximum number of concurrent requests from one daemon.
     #[serde(default = "default_limit")]
     pub limit: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     #[serde(default)]
     pub state: ServerState,
-    /// Whether it checks the epoch of orders and refuses work by itself.
+    /// Whether it checks the epoch of orders and refuses requests by itself.
     #[serde(default)]
     pub checks_orders: bool,
-    /// What the platform's list tells of it; nothing for a row of the operators.
+    /// State from the platform's list; the default for an operators' row.
     #[serde(skip)]
     pub listed: ListedState,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
--- a/crates/core/src/table/service.rs
+++ b/crates/core/src/table/service.rs
@@ -1,29 +1,29 @@
-//! Services whose servers the platform lists, and what their callers may send.
+//! Services whose servers the platform lists, and limits on their callers' requests.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Millis, Name, Tokens};
 
-/// What a service's model engines have in common.
+/// Properties shared by the model engines of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Requests that one engine runs at once.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's memory.
+    /// Number of tokens that fit into an engine's memory.
     pub memory_tokens: Tokens,
-    /// Most tokens that one event of a stream holds.
+    /// Maximum number of tokens in one event of a stream.
     pub tokens_per_event: Tokens,
 }
 
-/// How the servers of a service begin: for some time they carry little, and collapse
-/// under more.
+/// Cold start of a service's servers: for some time after their start they can handle only
+/// a low load, and break down under more.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStart {
-    /// How long a server stays cold after its start, in milliseconds.
+    /// Duration of the cold phase after a server's start, in milliseconds.
     pub lasts_ms: Millis,
-    /// Requests a second that a cold server carries.
+    /// Requests per second that a cold server can handle.
     pub requests_per_s: f64,
 }
 
@@ -31,33 +31,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The row's name.
+    /// Name of the row.
     pub name: Name,
-    /// Connections that one server takes from all daemons together.
+    /// Maximum number of connections to one server from all daemons together.
     pub max_connections: u32,
     /// Path of the health check.
     pub health_path: String,
-    /// What its engines have in common; none for a plain service.
+    /// Properties of its engines; none for a plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<Engine>,
-    /// How its servers begin; none where they are as fast as ever from the first request.
+    /// Cold start of its servers; none when they reach full speed with the first request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold_start: Option<ColdStart>,
-    /// Revision of the table that wrote this row last; written by the system.
+    /// Table revision that last wrote this row; set by the system.
     #[serde(default)]
     pub version: u64,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's header section, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to send a request's head, in milliseconds.
+    /// Time limit for sending a request's header section, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may rest between two requests, in milliseconds.
+    /// Time for which a connection may be idle between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
--- a/crates/core/src/table_check.rs
+++ b/crates/core/src/table_check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole table: every fault is found, with its row, field and fix.
+//! Validation of a whole table; reports every fault with its row, field and fix.
 
 use std::collections::HashSet;
 
@@ -8,10 +8,10 @@
 };
 use crate::{Error, Name, Result};
 
-/// Digits of a SHA-256 in hexadecimal.
+/// Number of hexadecimal digits of a SHA-256.
 const SHA256_DIGITS: usize = 64;
 
-/// Collects faults.
+/// Faults found so far.
 #[derive(Default)]
 struct Faults(Vec<RowFault>);
 
@@ -30,7 +30,7 @@
 /// Checks the whole table.
 ///
 /// # Errors
-/// [`Error::Table`] with every fault found.
+/// [`Error::Table`] with all faults.
 pub fn check(table: &Table) -> Result<()> {
     let mut faults = Faults::default();
     check_names(&table.halls, &mut faults);
@@ -65,7 +65,7 @@
     }
 }
 
-fn weight_is_usable(weight: f64) -> bool {
+fn is_valid_weight(weight: f64) -> bool {
     weight.is_finite() && weight >= 0.0
 }
 
@@ -74,8 +74,9 @@
         check_hall(hall, faults);
     }
     for hour in 0..HOURS_PER_DAY {
-        let weighs = |hall: &Hall| hall.weights_by_hour.get(hour).copied().unwrap_or(hall.weight);
-        let all_zero = table.halls.iter().all(|hall| weighs(hall) == 0.0);
+        let weight_of =
+            |hall: &Hall| hall.weights_by_hour.get(hour).copied().unwrap_or(hall.weight);
+        let all_zero = table.halls.iter().all(|hall| weight_of(hall) == 0.0);
         if let (true, Some(first)) = (all_zero, table.halls.first()) {
             let problem = format!("the weights of all halls are 0 in hour {hour}");
             faults.add(first, "weight", problem, "give one hall a weight above 0 in that hour");
@@ -91,7 +92,7 @@
         faults.add(hall, "weights_by_hour", problem, "give one weight for each hour from 0 to 23");
     }
     let all = std::iter::once(hall.weight).chain(hall.weights_by_hour.iter().copied());
-    if !all.into_iter().all(weight_is_usable) {
+    if !all.into_iter().all(is_valid_weight) {
         let problem = "a weight is negative or no number".to_owned();
         faults.add(hall, "weight", problem, "use 0 or more");
     }
@@ -163,7 +164,7 @@
         let problem = format!("'{}' is no IP number and port", row.address);
         faults.add(row, "address", problem, "write it like 10.0.0.7:8000");
     }
-    if !weight_is_usable(row.weight) {
+    if !is_valid_weight(row.weight) {
         let problem = "the weight is negative or no number".to_owned();
         faults.add(row, "weight", problem, "use 0 or more");
     }
@@ -195,8 +196,8 @@
     }
 }
 
-/// A home where no hall lies is served by nobody. Where the platform alone names the halls
-/// nothing is known of their regions.
+/// Checks that each home is the region of a hall, since no server serves it otherwise. A
+/// table without halls is skipped: the platform's list does not contain their regions.
 fn check_homes(table: &Table, faults: &mut Faults) {
     if table.halls.is_empty() {
         return;
@@ -274,7 +275,7 @@
         faults.add(row, "split", problem, "name one service or more with a weight above 0");
     }
     for share in split {
-        if !weight_is_usable(share.weight) {
+        if !is_valid_weight(share.weight) {
             let problem = format!("the weight of '{}' is negative or no number", share.service);
             faults.add(row, "split", problem, "use 0 or more");
         }
