--- a/crates/core/tests/budget_properties.rs
+++ b/crates/core/tests/budget_properties.rs
@@ -1,4 +1,5 @@
-//! Budgets under generated orders of draws, spends, stops, outages and losses.
+//! Properties of budgets under generated sequences of draws, spending, retirements,
+//! outages and crashes.
 
 mod common;
 
@@ -12,8 +13,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { owner: usize, holder: usize, tokens: u64, used: u64 },
-    Keep { owner: usize, holder: usize, tokens: u64 },
+    ReserveAndSettle { owner: usize, holder: usize, tokens: u64, used: u64 },
+    Reserve { owner: usize, holder: usize, tokens: u64 },
     SettleOldest { used: u64 },
     StoreAway(bool),
     LoseAnswer,
@@ -28,10 +29,10 @@
     let daemon = 0..DAEMONS;
     prop_oneof![
         6 => (daemon.clone(), daemon.clone(), 1..300u64, 0..300u64).prop_map(
-            |(owner, holder, tokens, used)| Step::Ask { owner, holder, tokens, used }
+            |(owner, holder, tokens, used)| Step::ReserveAndSettle { owner, holder, tokens, used }
         ),
         2 => (daemon.clone(), daemon.clone(), 1..300u64)
-            .prop_map(|(owner, holder, tokens)| Step::Keep { owner, holder, tokens }),
+            .prop_map(|(owner, holder, tokens)| Step::Reserve { owner, holder, tokens }),
         2 => (0..300u64).prop_map(|used| Step::SettleOldest { used }),
         1 => any::<bool>().prop_map(Step::StoreAway),
         1 => Just(Step::LoseAnswer),
@@ -47,20 +48,20 @@
     #[test]
     fn holders_never_have_more_than_the_budget(steps in proptest::collection::vec(step(), 1..60)) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
-        let mut kept: Vec<(usize, Reservation)> = Vec::new();
+        let mut reserved: Vec<(usize, Reservation)> = Vec::new();
         for step in steps {
             match step {
-                Step::Ask { owner, holder, tokens, used } => {
+                Step::ReserveAndSettle { owner, holder, tokens, used } => {
                     if let Some(reservation) = world.ask(owner, holder, tokens) {
                         world.settle(holder, reservation, used);
                     }
                 }
-                Step::Keep { owner, holder, tokens } => {
-                    kept.extend(world.ask(owner, holder, tokens).map(|r| (holder, r)));
+                Step::Reserve { owner, holder, tokens } => {
+                    reserved.extend(world.ask(owner, holder, tokens).map(|r| (holder, r)));
                 }
                 Step::SettleOldest { used } => {
-                    if !kept.is_empty() {
-                        let (holder, reservation) = kept.remove(0);
+                    if !reserved.is_empty() {
+                        let (holder, reservation) = reserved.remove(0);
                         world.settle(holder, reservation, used);
                     }
                 }
@@ -69,7 +70,7 @@
                 Step::TopUp { owner, id } => world.top_up(owner, &format!("t-{id}"), 100),
                 Step::Wait(millis) => world.now += millis,
                 Step::Kill(daemon) => world.dead[daemon] = true,
-                // Of a live holder too: it may only seem to be gone.
+                // Also of a live holder, which may only appear to have crashed.
                 Step::Reclaim { owner, holder } => world.reclaim(owner, holder),
                 Step::Open { holder, tokens } => {
                     world.open(holder, tokens);
@@ -84,7 +85,7 @@
     }
 
     #[test]
-    fn nobody_is_refused_while_free_tokens_are_in_reach(
+    fn no_request_is_refused_while_enough_tokens_are_free(
         asks in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
     ) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
@@ -99,7 +100,7 @@
     }
 
     #[test]
-    fn a_retired_fleet_leaves_exactly_what_was_spent(
+    fn retired_fleet_keeps_exactly_the_spent_tokens(
         asks in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
     ) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
--- a/crates/core/tests/holder.rs
+++ b/crates/core/tests/holder.rs
@@ -1,4 +1,4 @@
-//! What one daemon holds: sealed and open grants, transfers, late answers.
+//! The holder of one daemon: sealed and open grants, transfers, holdings.
 
 use bankcove_core::holder::Holder;
 use bankcove_core::witness::{Marks, Witness};
@@ -12,8 +12,8 @@
     Witness { incarnation: Incarnation(n), address: "127.0.0.1:1".into() }
 }
 
-/// A holder with this grant, all of it sealed, and one recorded witness.
-fn sealed(tokens: u64) -> Holder {
+/// Returns a holder with a fully sealed grant of `tokens` and one recorded witness.
+fn sealed_holder(tokens: u64) -> Holder {
     let mut holder = Holder::new(Incarnation(1));
     holder.record_granted(&budget(), tokens);
     holder.set_recorded_witnesses(&budget(), &[witness(2)]);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn what_is_sealed_is_not_spent() {
-    let mut holder = sealed(100);
+fn sealed_tokens_cannot_be_reserved() {
+    let mut holder = sealed_holder(100);
     assert!(holder.reserve(&budget(), 1, 0).is_err());
     let opening = holder.next_opening(&budget(), 10, 0).expect("there is a witness");
     assert!(holder.confirm_opening(&budget(), &opening));
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn an_opening_that_a_new_witness_has_not_seen_does_not_count() {
-    let mut holder = sealed(100);
+fn opening_is_rejected_without_agreement_of_a_new_witness() {
+    let mut holder = sealed_holder(100);
     let opening = holder.next_opening(&budget(), 10, 0).expect("there is a witness");
-    // A draw that names another witness overtakes the agreement of the first.
+    // A draw names another witness before the first one's agreement arrives.
     holder.propose_witnesses(&budget(), &[witness(3)]);
     assert!(!holder.confirm_opening(&budget(), &opening));
     assert!(holder.reserve(&budget(), 1, 0).is_err());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lost_transfer_is_healed_by_asking_again() {
+fn retried_transfer_is_debited_once() {
     let (mut from, mut to) = (Holder::new(Incarnation(1)), Holder::new(Incarnation(2)));
     from.record_granted(&budget(), 100);
     from.record_opened(&budget(), 100);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn more_than_was_reserved_can_not_be_spent() {
+fn spending_is_capped_at_the_reservation() {
     let mut holder = Holder::new(Incarnation(1));
     holder.record_granted(&budget(), 100);
     holder.record_opened(&budget(), 100);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_closed_holder_is_told_so_for_each_budget_alone() {
+fn closing_affects_one_holder_and_budget_only() {
     let mut marks = Marks::default();
     assert!(marks.open(Incarnation(1), &budget(), 40));
     assert_eq!(marks.close(Incarnation(1), &budget()), 40);
@@ -76,28 +76,28 @@
 }
 
 #[test]
-fn holdings_tell_where_every_token_is() {
+fn holdings_account_for_every_token() {
     let (lender, me) = (Incarnation(2), Incarnation(1));
     let mut holder = Holder::new(me);
     let (main, other) = (budget(), Name::from("other"));
     holder.record_granted(&main, 100);
     holder.record_opened(&main, 90);
     holder.record_received(&other, lender, 50);
-    let runs = holder.reserve(&main, 30, 1_000).expect("there is enough");
+    let running = holder.reserve(&main, 30, 1_000).expect("there is enough");
     let ended = holder.reserve(&main, 20, 3_000).expect("there is enough");
-    let _runs_too = holder.reserve(&other, 7, 5_000).expect("there is enough");
+    let _running_too = holder.reserve(&other, 7, 5_000).expect("there is enough");
     holder.settle(ended, 15);
     holder.transfer(&other, lender, 0, 3);
     let held = holder.holdings();
     assert_eq!((held.granted, held.received, held.returned, held.sent), (100, 50, 0, 3));
     assert_eq!((held.spent, held.reserved, held.free, held.sealed), (15, 37, 85, 10));
-    let came = held.granted + held.received;
-    let went = held.returned + held.sent + held.spent;
-    assert_eq!(came, went + held.reserved + held.free + held.sealed);
-    // They began at 1 s and at 5 s.
+    let credits = held.granted + held.received;
+    let debits = held.returned + held.sent + held.spent;
+    assert_eq!(credits, debits + held.reserved + held.free + held.sealed);
+    // The running attempts began at 1 s and at 5 s.
     assert_eq!((held.running.count, held.running.mean_age(9_000)), (2, 6_000));
-    let most: Vec<String> = holder.largest_holdings(1).iter().map(ToString::to_string).collect();
-    assert_eq!(most, ["main 55+30"]);
-    holder.settle(runs, 30);
+    let largest: Vec<String> = holder.largest_holdings(1).iter().map(ToString::to_string).collect();
+    assert_eq!(largest, ["main 55+30"]);
+    holder.settle(running, 30);
     assert_eq!(holder.holdings().running.mean_age(9_000), 4_000);
 }
--- a/crates/core/tests/owner_prefetch.rs
+++ b/crates/core/tests/owner_prefetch.rs
@@ -1,11 +1,11 @@
-//! Where the tokens of a large fleet lie when the store goes away from all of it.
+//! Refusals in a large fleet while the store is unreachable, by who prefetches the tokens.
 //!
-//! Load pattern: 240 daemons, 40 budgets of which a few are large, 700 requests a second
-//! of 1,000 to 40,000 tokens, spread evenly but for one daemon that gets a tenth of them;
-//! after 6 s the store is away for 8 s. Kept by each daemon for itself, 2,243 of the 5,600
-//! requests of the outage played here find no tokens while 20 million lie free elsewhere;
-//! kept by owners for the fleet, 244 do. In the first outage of the users' calm day 2,083
-//! refusals became 408.
+//! Load pattern: 240 daemons, 40 budgets of which a few are large, 700 requests per second
+//! of 1,000 to 40,000 tokens, spread evenly except for one daemon that gets a tenth of
+//! them; after 6 s the store is unreachable for 8 s. If each daemon prefetches for itself,
+//! 2,243 of the 5,600 requests in this simulated outage find no tokens while 20 million
+//! are free at other daemons; if owners prefetch for the fleet, 244 do. In the first outage
+//! of the users' calm day the change reduced 2,083 refusals to 408.
 
 use std::collections::HashMap;
 
@@ -18,17 +18,19 @@
 const STORE_AWAY_AT_MS: Millis = 6_000;
 const ENDS_AT_MS: Millis = 14_000;
 
-/// How long a request has its tokens set aside, and the part that it costs.
+/// Duration of a request, for which its tokens are reserved.
 const RUNS_MS: Millis = 2_000;
+
+/// Fraction of the reserved tokens that a request costs.
 const COST: f64 = 0.9;
 
-/// Tokens of all budgets together: of what is left at most half is held.
+/// Tokens of all budgets together; at most half of what is left is held.
 const TOKENS: Tokens = 130_000_000;
 
-/// Numbers that look random, the same in each run.
-struct Numbers(u64);
+/// Deterministic pseudo-random numbers in [0, 1).
+struct Random(u64);
 
-impl Numbers {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 =
             self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -37,18 +39,18 @@
 }
 
 struct Fleet {
-    keeps_for_fleet: bool,
+    owners_prefetch: bool,
     holders: Vec<Holder>,
     left: Vec<Tokens>,
     open: Vec<(Millis, usize, Reservation)>,
-    asks: u64,
+    token_requests: u64,
 }
 
 fn budget(n: usize) -> Name {
     Name::from(format!("budget-{n}").as_str())
 }
 
-/// A few budgets are large, most are small.
+/// Returns the relative size of a budget: a few are large, most are small.
 fn weight(n: usize) -> f64 {
     1.0 / (n as f64 + 2.0)
 }
@@ -59,19 +61,19 @@
 }
 
 impl Fleet {
-    fn new(keeps_for_fleet: bool) -> Self {
+    fn new(owners_prefetch: bool) -> Self {
         let holders = (0..DAEMONS).map(|n| Holder::new(Incarnation(n as u64 + 1))).collect();
         let left = (0..BUDGETS).map(total).collect();
-        Fleet { keeps_for_fleet, holders, left, open: Vec::new(), asks: 0 }
+        Fleet { owners_prefetch, holders, left, open: Vec::new(), token_requests: 0 }
     }
 
-    /// The daemon that owns a budget.
+    /// Returns the daemon that owns a budget.
     fn owner(n: usize) -> usize {
         n * 5 + 1
     }
 
     fn terms(&self, daemon: usize, n: usize) -> DrawTerms {
-        let prefetch = match (self.keeps_for_fleet, daemon == Fleet::owner(n)) {
+        let prefetch = match (self.owners_prefetch, daemon == Fleet::owner(n)) {
             (false, _) => PrefetchScope::ForItself,
             (true, true) => PrefetchScope::ForFleet,
             (true, false) => PrefetchScope::LeftToOwner,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The owner draws `need` and what it keeps ahead; the store is there.
+    /// Draws `need` and the prefetch of the owner from the store, which is reachable.
     fn draw(&mut self, n: usize, need: Tokens, now: Millis) {
         let owner = Fleet::owner(n);
         let terms = self.terms(owner, n);
@@ -102,7 +104,7 @@
         holder.set_outlook(&budget(n), Outlook { share, left: self.left[n] }, now);
     }
 
-    /// Asks the owner of a budget for `need` and some ahead.
+    /// Requests `need` and a prefetch from the owner of a budget.
     fn ask(&mut self, daemon: usize, n: usize, need: Tokens, now: Millis) {
         let owner = Fleet::owner(n);
         if daemon == owner {
@@ -111,17 +113,17 @@
             }
             return;
         }
-        self.asks += 1;
+        self.token_requests += 1;
         let terms = self.terms(daemon, n);
         let start = Some(self.holders[owner].incarnation());
-        let ask = self.holders[daemon].token_request(&budget(n), start, need, &terms, now);
-        self.holders[owner].record_given_back(&ask, now);
-        let mut allotted = self.holders[owner].allot(&ask, now);
+        let request = self.holders[daemon].token_request(&budget(n), start, need, &terms, now);
+        self.holders[owner].record_given_back(&request, now);
+        let mut allotted = self.holders[owner].allot(&request, now);
         if let Err(short) = allotted
             && now < STORE_AWAY_AT_MS
         {
             self.draw(n, short.missing, now);
-            allotted = self.holders[owner].allot(&ask, now);
+            allotted = self.holders[owner].allot(&request, now);
         }
         if let Ok(allotted) = allotted {
             self.holders[daemon].record_allotted(&budget(n), allotted, now);
@@ -150,17 +152,18 @@
         }
     }
 
-    /// What each daemon does once a second: gives back, and draws or asks ahead.
-    fn tend(&mut self, now: Millis) {
+    /// Runs the periodic task of each daemon, once a second: gives tokens back, and draws or
+    /// requests tokens ahead.
+    fn maintain(&mut self, now: Millis) {
         for daemon in 0..DAEMONS {
             for n in 0..BUDGETS {
                 let terms = self.terms(daemon, n);
                 let owner = Fleet::owner(n);
                 let start = self.holders[owner].incarnation();
-                let back = daemon != owner
+                let gives_back = daemon != owner
                     && self.holders[daemon].return_surplus_to_owner(&budget(n), start, &terms, now)
                         > 0;
-                if back || self.holders[daemon].is_low(&budget(n), &terms, now) {
+                if gives_back || self.holders[daemon].is_low(&budget(n), &terms, now) {
                     self.ask(daemon, n, 0, now);
                 }
             }
@@ -173,36 +176,36 @@
     }
 }
 
-/// What became of the requests of the outage.
+/// Results of a run; `asked` and `refused` count the requests during the outage.
 #[derive(Debug, Default)]
-#[allow(dead_code, reason = "told by the assertions")]
+#[allow(dead_code, reason = "printed by the assertions")]
 struct Outcome {
     asked: u64,
     refused: u64,
     free: Tokens,
-    asks: u64,
+    token_requests: u64,
     requests: u64,
 }
 
-fn play(keeps_for_fleet: bool) -> Outcome {
-    let mut fleet = Fleet::new(keeps_for_fleet);
-    let mut numbers = Numbers(7);
+fn simulate(owners_prefetch: bool) -> Outcome {
+    let mut fleet = Fleet::new(owners_prefetch);
+    let mut random = Random(7);
     let mut outcome = Outcome::default();
     let sum: f64 = (0..BUDGETS).map(weight).sum();
     for step in 0..ENDS_AT_MS * REQUESTS_PER_S / 1_000 {
         let now = step * 1_000 / REQUESTS_PER_S;
         fleet.settle(now);
         if step % REQUESTS_PER_S == 0 {
-            fleet.tend(now);
+            fleet.maintain(now);
         }
-        let busiest = numbers.next() < 0.1;
-        let daemon = if busiest { 0 } else { (numbers.next() * DAEMONS as f64) as usize };
-        let mut point = numbers.next() * sum;
+        let busiest = random.next() < 0.1;
+        let daemon = if busiest { 0 } else { (random.next() * DAEMONS as f64) as usize };
+        let mut point = random.next() * sum;
         let n = (0..BUDGETS).find(|n| {
             point -= weight(*n);
             point < 0.0
         });
-        let size = numbers.next();
+        let size = random.next();
         let tokens =
             if size < 0.7 { 1_500 } else { 4_000 + (36_000.0 * size * size) as Tokens / 3 };
         let is_served = fleet.request(daemon, n.unwrap_or(0), tokens, now);
@@ -212,65 +215,65 @@
             outcome.refused += u64::from(!is_served);
         }
     }
-    Outcome { free: fleet.free(), asks: fleet.asks, ..outcome }
+    Outcome { free: fleet.free(), token_requests: fleet.token_requests, ..outcome }
 }
 
 #[test]
-fn in_an_outage_hardly_anybody_is_refused_for_tokens_that_lie_elsewhere() {
-    let outcome = play(true);
+fn owner_prefetch_refuses_less_than_a_twentieth_in_an_outage() {
+    let outcome = simulate(true);
     assert!(outcome.refused * 20 < outcome.asked, "{outcome:?}");
 }
 
 #[test]
-fn kept_by_each_for_itself_they_are_in_parts_smaller_than_a_request() {
-    let outcome = play(false);
+fn prefetch_for_itself_refuses_more_than_a_fifth_in_an_outage() {
+    let outcome = simulate(false);
     assert!(outcome.refused * 5 > outcome.asked, "{outcome:?}");
 }
 
 #[test]
-fn asks_do_not_outnumber_requests_by_much() {
-    let outcome = play(true);
-    assert!(outcome.asks < outcome.requests * 2, "{outcome:?}");
+fn token_requests_stay_below_two_per_request() {
+    let outcome = simulate(true);
+    assert!(outcome.token_requests < outcome.requests * 2, "{outcome:?}");
 }
 
 #[test]
-fn what_requests_leave_over_goes_back_to_the_owner() {
+fn leftover_tokens_return_to_the_owner_when_idle() {
     let mut fleet = Fleet::new(true);
     assert!(fleet.request(0, 0, 10_000, 0));
     fleet.settle(RUNS_MS);
-    let left_over = fleet.holders[0].free(&budget(0));
-    assert!(left_over > 0);
-    fleet.tend(RUNS_MS + 100);
-    assert_eq!(fleet.holders[0].free(&budget(0)), left_over, "the next request may take it");
-    fleet.tend(RUNS_MS + 3_000);
+    let leftover = fleet.holders[0].free(&budget(0));
+    assert!(leftover > 0);
+    fleet.maintain(RUNS_MS + 100);
+    assert_eq!(fleet.holders[0].free(&budget(0)), leftover, "the next request may take it");
+    fleet.maintain(RUNS_MS + 3_000);
     assert_eq!(fleet.holders[0].free(&budget(0)), 0);
 }
 
 #[test]
-fn a_daemon_with_many_requests_asks_for_some_ahead() {
+fn busy_daemon_batches_its_token_requests() {
     let mut fleet = Fleet::new(true);
     for step in 0..200 {
         assert!(fleet.request(0, 0, 2_000, step * 10));
     }
-    assert!(fleet.asks < 100, "{} asks for 200 requests", fleet.asks);
+    assert!(fleet.token_requests < 100, "{} token requests for 200 requests", fleet.token_requests);
 }
 
 #[test]
-fn an_owner_counts_what_came_back_as_not_spent() {
+fn returned_tokens_lower_the_owners_spending_rate() {
     let mut fleet = Fleet::new(true);
     for n in 0..20 {
         assert!(fleet.request(2, 0, 50_000, n * 50));
     }
-    let spending = |fleet: &mut Fleet| {
+    let spending_rate = |fleet: &mut Fleet| {
         let terms = fleet.terms(Fleet::owner(0), 0);
         fleet.holders[Fleet::owner(0)].draw(&budget(0), 0, terms, "owner", 5_000).rate
     };
-    let before = spending(&mut fleet);
+    let before = spending_rate(&mut fleet);
     let running: HashMap<usize, usize> = HashMap::from([(2, fleet.open.len())]);
     assert_eq!(running[&2], 20);
     for (_, daemon, reservation) in std::mem::take(&mut fleet.open) {
         fleet.holders[daemon].settle(reservation, 0);
     }
-    fleet.tend(4_500);
-    assert!(spending(&mut fleet) < before / 4);
+    fleet.maintain(4_500);
+    assert!(spending_rate(&mut fleet) < before / 4);
 }
--- a/crates/core/tests/ration.rs
+++ b/crates/core/tests/ration.rs
@@ -1,4 +1,4 @@
-//! How much of what is left of a budget one request may take.
+//! The ration: the most that one request may reserve of what is left of a budget.
 
 mod common;
 
@@ -7,35 +7,37 @@
 use common::budget;
 use yare::parameterized;
 
-/// How long the callers are expected for who share what is left.
+/// Window whose expected requests share what is left, in seconds.
 const RATION_S: f64 = 0.9;
 
-/// Ten requests a second, each of so many tokens.
-const PAUSE: Millis = 100;
+/// Interval of the requests: ten per second.
+const INTERVAL_MS: Millis = 100;
+
+/// Cost of each request.
 const SIZE: Tokens = 1_000;
 
-/// A holder that spent for 20 s, and knows nothing of the budget as a whole.
-fn spender() -> (Holder, Millis) {
+/// Returns a holder that has spent for 20 s and has no outlook, and the current time.
+fn spending_holder() -> (Holder, Millis) {
     let mut holder = Holder::new(Incarnation(1));
     let end = 20_000;
     holder.record_granted(&budget(), Tokens::MAX / 4);
-    holder.record_opened(&budget(), SIZE * end / PAUSE);
-    for now in (0..end).step_by(PAUSE as usize) {
+    holder.record_opened(&budget(), SIZE * end / INTERVAL_MS);
+    for now in (0..end).step_by(INTERVAL_MS as usize) {
         let reservation = holder.reserve(&budget(), SIZE, now).expect("it is open");
         holder.settle(reservation, SIZE);
     }
     (holder, end)
 }
 
-/// The same, which was told now that `left` tokens are left.
-fn holder_before(left: Tokens) -> (Holder, Millis) {
-    let (mut holder, now) = spender();
+/// Returns the same with an outlook, received now, of `left` tokens left.
+fn holder_with_outlook(left: Tokens) -> (Holder, Millis) {
+    let (mut holder, now) = spending_holder();
     holder.set_outlook(&budget(), Outlook { share: 0, left }, now);
     (holder, now)
 }
 
 #[test]
-fn without_word_of_a_budget_nothing_is_rationed() {
+fn ration_is_unlimited_without_an_outlook() {
     let mut holder = Holder::new(Incarnation(1));
     assert_eq!(holder.ration(&budget(), RATION_S, 0, 0), Tokens::MAX);
     holder.record_granted(&budget(), 100);
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn a_lone_caller_may_take_all_that_is_left() {
+fn single_caller_may_reserve_all_that_is_left() {
     let mut holder = Holder::new(Incarnation(1));
     holder.set_outlook(&budget(), Outlook { share: 0, left: 50_000 }, 0);
     assert_eq!(holder.ration(&budget(), RATION_S, 3, 0), 50_000);
@@ -54,36 +56,36 @@
     next = { 1, 18.0 },
     third = { 2, 36.0 },
     lowest = { 3, 72.0 },
-    none_is_kept_from_all_that_is_left = { 200, 72.0 },
+    below_the_lowest = { 200, 72.0 },
 )]
-fn what_is_left_is_shared_with_the_callers_expected(rank: u32, expected_callers: f64) {
+fn what_is_left_is_divided_among_expected_callers(rank: u32, expected_callers: f64) {
     let left = 100_000;
-    let (holder, now) = holder_before(left);
+    let (holder, now) = holder_with_outlook(left);
     let part = holder.ration(&budget(), RATION_S, rank, now) as f64 / left as f64;
-    // Rates forget slowly: they are right to a tenth after two time constants.
-    let off = part * expected_callers;
-    assert!((0.9..1.1).contains(&off), "{part} among {expected_callers}");
+    // Rates converge slowly: they are accurate to a tenth after two time constants.
+    let ratio = part * expected_callers;
+    assert!((0.9..1.1).contains(&ratio), "{part} for {expected_callers} expected callers");
 }
 
 #[test]
-fn what_others_take_counts_as_callers_too() {
-    let (mut holder, end) = holder_before(1_000_000);
-    let (mut alone, _) = spender();
-    // In the next ten seconds others take nine times as much as this daemon did.
+fn spending_of_other_daemons_counts_as_expected_callers() {
+    let (mut holder, end) = holder_with_outlook(1_000_000);
+    let (mut alone, _) = spending_holder();
+    // In the next ten seconds other daemons use nine times as much as this one did.
     let mut left = 1_000_000;
     for second in 1..=10 {
-        left -= 9 * SIZE * 1_000 / PAUSE;
+        left -= 9 * SIZE * 1_000 / INTERVAL_MS;
         holder.set_outlook(&budget(), Outlook { share: 0, left }, end + second * 1_000);
     }
-    // The same is left, by a first word of it.
+    // The same outlook, received as the first one.
     alone.set_outlook(&budget(), Outlook { share: 0, left }, end + 10_000);
     let part = |holder: &Holder| holder.ration(&budget(), RATION_S, 0, end + 10_000);
     assert!(part(&holder) * 2 < part(&alone), "{} and {}", part(&holder), part(&alone));
 }
 
 #[test]
-fn a_top_up_is_known_at_once() {
-    let (mut holder, now) = holder_before(10_000);
+fn top_up_takes_effect_at_once() {
+    let (mut holder, now) = holder_with_outlook(10_000);
     let before = holder.ration(&budget(), RATION_S, 0, now);
     holder.set_outlook(&budget(), Outlook { share: 0, left: 10_000_000 }, now + 1);
     assert!(holder.ration(&budget(), RATION_S, 0, now + 1) > before * 900);
@@ -91,24 +93,25 @@
 }
 
 #[test]
-fn what_is_drawn_ahead_and_given_back_is_not_taken() {
+fn prefetched_and_returned_tokens_are_not_counted_as_used() {
     let left = 1_000_000;
-    let (mut holder, end) = holder_before(left);
+    let (mut holder, end) = holder_with_outlook(left);
     for second in 1..=10 {
         let now = end + second * 1_000;
         holder.set_outlook(&budget(), Outlook { share: 0, left: left / 2 }, now);
         holder.set_outlook(&budget(), Outlook { share: 0, left }, now + 500);
     }
-    let (mut still, _) = spender();
-    still.set_outlook(&budget(), Outlook { share: 0, left }, end);
+    let (mut unchanged, _) = spending_holder();
+    unchanged.set_outlook(&budget(), Outlook { share: 0, left }, end);
     let part = |holder: &Holder| holder.ration(&budget(), RATION_S, 0, end + 10_500);
-    assert_eq!(part(&holder), part(&still));
+    assert_eq!(part(&holder), part(&unchanged));
 }
 
-/// Small requests of one budget say nothing of the callers of another.
+/// Guards against estimating the callers of a rarely used budget from its own few requests
+/// alone: the mean request size covers all budgets at this daemon.
 #[test]
-fn a_request_is_judged_by_the_mean_of_all_that_come_here() {
-    let (mut holder, end) = holder_before(100_000);
+fn mean_request_covers_all_budgets() {
+    let (mut holder, end) = holder_with_outlook(100_000);
     let before = holder.ration(&budget(), RATION_S, 0, end);
     let other = "other".into();
     holder.record_granted(&other, Tokens::MAX / 4);
@@ -117,7 +120,7 @@
         let reservation = holder.reserve(&other, 3 * SIZE, end).expect("it is open");
         holder.settle(reservation, SIZE);
     }
-    // The mean has doubled, so that half as many callers are expected.
+    // The mean request has doubled, so half as many callers are expected.
     let after = holder.ration(&budget(), RATION_S, 0, end);
     assert!(after > before + before / 2, "{before}, then {after}");
 }
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -1,4 +1,4 @@
-//! The parts of a budget that operators are told add up to its total, wherever its tokens are.
+//! The parts of a statement add up to the budget's total, wherever its tokens are.
 
 use std::sync::Arc;
 
@@ -31,16 +31,16 @@
 }
 
 fn sum(statement: &Statement) -> i64 {
-    let there = statement.not_granted
+    let parts = statement.not_granted
         + statement.spent
         + statement.reserved
         + statement.held
         + statement.unanswered;
-    there as i64 + statement.ended + statement.in_transit
+    parts as i64 + statement.ended + statement.in_transit
 }
 
 #[test]
-fn what_is_spent_and_held_stands_apart() {
+fn spent_and_held_are_separate() {
     let statement = Statement::new(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 200)]);
     assert_eq!((statement.spent, statement.reserved, statement.held), (30, 20, 500));
     assert_eq!(
@@ -51,25 +51,25 @@
 }
 
 #[test]
-fn tokens_on_their_way_are_neither_spent_nor_held() {
-    // Half of what the second has was sent to the first and has not come.
+fn tokens_in_transit_are_neither_spent_nor_held() {
+    // Half of the second daemon's tokens were sent to the first and have not arrived.
     let statement = Statement::new(&ledger(), vec![holding(1, 30, 20, 300), holding(2, 0, 0, 100)]);
     assert_eq!((statement.spent, statement.in_transit), (30, 100));
     assert_eq!(sum(&statement), 1_000);
 }
 
 #[test]
-fn a_daemon_that_does_not_answer_and_one_that_has_ended_stand_apart() {
+fn unanswered_and_ended_incarnations_are_separate() {
     let mut ledger = ledger();
     ledger.retired = 70;
     ledger.retired_holders.push(Incarnation(9));
-    let told = vec![holding(1, 30, 20, 300)];
-    let statement = Statement::new(&ledger, told);
+    let holdings = vec![holding(1, 30, 20, 300)];
+    let statement = Statement::new(&ledger, holdings);
     assert_eq!((statement.unanswered, statement.ended, statement.in_transit), (200, 70, 0));
     assert_eq!(sum(&statement), 1_000);
-    // One that still answers while it ends counts once.
-    let told = vec![holding(1, 30, 20, 300), holding(9, 70, 0, 0)];
-    let statement = Statement::new(&ledger, told);
+    // An incarnation that still answers while it ends is counted once.
+    let holdings = vec![holding(1, 30, 20, 300), holding(9, 70, 0, 0)];
+    let statement = Statement::new(&ledger, holdings);
     assert_eq!((statement.spent, statement.ended), (100, 0));
     assert_eq!(sum(&statement), 1_000);
 }
