--- a/crates/core/src/owner/draft.rs
+++ b/crates/core/src/owner/draft.rs
@@ -40,7 +40,7 @@
     ledger.grant(draw.holder, &draw.address, 0);
     ledger.set_rate(draw.holder, draw.rate);
     let sealed = ledger.granted_to(draw.holder).saturating_sub(opened);
-    let prefetch = draw.terms.amount(draw.want, available + sealed);
+    let prefetch = draw.terms.draw_amount(draw.want, available + sealed);
     let share = ledger.share(draw.holder, &draw.terms);
     let prefetch = if draw.witnesses.is_empty() { prefetch.min(share) } else { prefetch };
     let wanted = prefetch.max(need);
@@ -49,7 +49,7 @@
     // them. This serves 0.807 and 0.827 of the requests; a floor computed from the whole
     // budget serves 0.795 and 0.816 (two deployments, 20 and 15 days with faults).
     let divided = if draw.witnesses.is_empty() { available } else { ledger.total() };
-    let floor = draw.terms.floor(divided, available);
+    let floor = draw.terms.min_held(divided, available);
     let held = draw.free + sealed;
     let tokens = wanted.saturating_sub(sealed).max(floor.saturating_sub(held)).min(available);
     ledger.grant(draw.holder, &draw.address, tokens);
--- a/crates/core/src/owner/gather.rs
+++ b/crates/core/src/owner/gather.rs
@@ -92,7 +92,7 @@
     /// draw's terms allow it. Returns the amount.
     pub(super) fn take(&mut self, draw: &Draw, need: Tokens) -> Tokens {
         let gather = self.by_budget.entry(draw.budget.clone()).or_default();
-        let amount = draw.terms.amount(draw.want, gather.free).max(need);
+        let amount = draw.terms.draw_amount(draw.want, gather.free).max(need);
         gather.free = gather.free.saturating_sub(amount);
         amount
     }
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -78,7 +78,7 @@
         }
         if !draw.witnesses.is_empty() && ledger.is_full_for(draw.holder) {
             // The grant is recorded for this owner, which transfers the tokens.
-            let amount = draw.terms.amount(draw.want, ledger.available()).max(need);
+            let amount = draw.terms.draw_amount(draw.want, ledger.available()).max(need);
             let own_grant = Some(self.grant_to_owner(ledger, amount));
             let reply = granted_reply(ledger, draw, false);
             return Decision::AfterWrite(Outcome::Transfer { own_grant, max: amount, need, reply });
@@ -88,7 +88,7 @@
             // delayed one of the earlier incarnation. With witnesses, the tokens that an
             // earlier incarnation never opened are reclaimed instead.
             ledger.retire_earlier_incarnations(draw.holder, &draw.address);
-        } else if let Some(earlier) = draw.ends
+        } else if let Some(earlier) = draw.replaced_start
             && draw.witnesses.is_empty()
         {
             ledger.retire_earlier_incarnation(earlier, draw.holder, &draw.address);
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::holder::{Draw, Keeps, Outlook, Terms, held_part};
+use crate::holder::{Draw, DrawTerms, Outlook, PrefetchScope, held_fraction};
 use crate::id::shard_of_name;
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
@@ -121,7 +121,7 @@
     }
 
     /// Returns the number of tokens that one holder may keep in advance. It is limited so
-    /// that the store keeps a multiple of what all holders have together ([`held_part`]):
+    /// that the store keeps a multiple of what all holders have together ([`held_fraction`]):
     /// lost holders then take few tokens with them, and a holder that runs out can draw
     /// more. A holder that spends more may keep more, because callers are not spread
     /// evenly over the daemons.
@@ -129,10 +129,10 @@
     /// The number of daemons is taken from `terms`, because the grants of daemons that no
     /// longer exist remain in the ledger. A holder that keeps tokens for the whole fleet
     /// may keep the amount that all holders together may.
-    pub fn share(&self, holder: Incarnation, terms: &Terms) -> Tokens {
+    pub fn share(&self, holder: Incarnation, terms: &DrawTerms) -> Tokens {
         let available = self.available();
-        if terms.keeps == Keeps::ForFleet {
-            return (available as f64 * held_part(available, self.total())) as Tokens;
+        if terms.prefetch == PrefetchScope::ForFleet {
+            return (available as f64 * held_fraction(available, self.total())) as Tokens;
         }
         let holders = (self.grants.len() as u64).clamp(1, terms.daemons.max(1));
         let fleet_rate: u64 = self.grants.values().map(|grant| grant.rate).sum();
@@ -142,11 +142,11 @@
             if fleet_rate == 0 { equal_fraction } else { rate as f64 / fleet_rate as f64 };
         // The callers of an idle holder may return at any time.
         let fraction = fraction.max(equal_fraction * MIN_SHARE_FRACTION);
-        (available as f64 * fraction * held_part(available, self.total())) as Tokens
+        (available as f64 * fraction * held_fraction(available, self.total())) as Tokens
     }
 
     /// Returns the state of the budget that is reported to `holder`.
-    pub fn outlook(&self, holder: Incarnation, terms: &Terms) -> Outlook {
+    pub fn outlook(&self, holder: Incarnation, terms: &DrawTerms) -> Outlook {
         let share = self.share(holder, terms);
         Outlook { share, left: self.available() }
     }
--- a/crates/core/tests/common/direct.rs
+++ b/crates/core/tests/common/direct.rs
@@ -1,7 +1,7 @@
 //! A simulation of daemons that write the shard of one budget themselves, with an
 //! in-memory store.
 
-use bankcove_core::holder::{Draw, Holder, Reservation, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, Reservation};
 use bankcove_core::owner::{Command, Event, Owner, Reply, Request};
 use bankcove_core::shard::{Ledger, Shard};
 use bankcove_core::{Incarnation, Millis, Tokens};
@@ -40,14 +40,14 @@
     /// concurrently.
     pub calls_advance_clock: bool,
     /// Terms of the budget's row.
-    pub terms: Terms,
+    pub terms: DrawTerms,
     stored: (u64, Shard),
     starts: u64,
 }
 
 impl World {
     /// Creates as many daemons as `terms` specify; they hold no tokens yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: DrawTerms) -> Self {
         let (stored, daemons) = ((0, Shard::default()), Vec::new());
         let mut world =
             World { now: 0, daemons, calls_advance_clock: true, terms, stored, starts: 0 };
@@ -140,10 +140,12 @@
         let reply = self.request(owner, Request::Draw(draw.clone()), fault);
         let holder = &mut self.daemons[n].holder;
         if let Reply::Granted { granted, opened, outlook, earlier_start, .. } = reply {
-            outlook.into_iter().for_each(|outlook| holder.known(&budget(), outlook, self.now));
-            holder.told_earlier_start(&budget(), earlier_start);
-            holder.granted(&budget(), granted);
-            holder.opened(&budget(), opened);
+            outlook
+                .into_iter()
+                .for_each(|outlook| holder.set_outlook(&budget(), outlook, self.now));
+            holder.set_earlier_start(&budget(), earlier_start);
+            holder.record_granted(&budget(), granted);
+            holder.record_opened(&budget(), opened);
         }
         draw
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use bankcove_core::holder::{Draw, Holder, Keeps, Reservation, Terms};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope, Reservation};
 use bankcove_core::owner::{Command, Event, HolderRef, Owner, Reply, Request, WRITE_INTERVAL_MS};
 use bankcove_core::shard::Shard;
 use bankcove_core::witness::{Witness, WitnessMarks};
@@ -21,15 +21,15 @@
 }
 
 /// Terms of a budget row with `tokens` tokens, shared by `daemons` daemons.
-pub fn terms(tokens: Tokens, daemons: u64) -> Terms {
-    Terms {
+pub fn terms(tokens: Tokens, daemons: u64) -> DrawTerms {
+    DrawTerms {
         tokens,
         version: 1,
         horizon_s: 10.0,
         share_divisor: 4,
         held_ahead: 0.1,
         kept_for_others: 0.0,
-        keeps: Keeps::ForItself,
+        prefetch: PrefetchScope::ForItself,
         daemons,
     }
 }
@@ -78,14 +78,14 @@
     }
 
     pub fn draw(&mut self, holder: usize, need: Tokens) -> Draw {
-        let terms = Terms {
+        let terms = DrawTerms {
             tokens: self.tokens,
             version: 1,
             horizon_s: 10.0,
             share_divisor: 4,
             held_ahead: 0.25,
             kept_for_others: 0.0,
-            keeps: Keeps::ForItself,
+            prefetch: PrefetchScope::ForItself,
             daemons: self.holders.len() as u64,
         };
         let witnesses = self.witnesses(holder);
@@ -108,7 +108,7 @@
     /// Opens `tokens` more of a grant with the approval of all its witnesses. Returns
     /// whether the tokens were opened.
     pub fn open(&mut self, holder: usize, tokens: Tokens) -> bool {
-        let Some(opening) = self.holders[holder].opening(&budget(), tokens, self.now) else {
+        let Some(opening) = self.holders[holder].next_opening(&budget(), tokens, self.now) else {
             return false;
         };
         let me = Incarnation(holder as u64);
@@ -116,7 +116,7 @@
             let n = witness.incarnation.0 as usize;
             !self.dead[n] && self.marks[n].open(me, &budget(), opening.opened)
         });
-        is_approved && self.holders[holder].opening_agreed(&budget(), &opening)
+        is_approved && self.holders[holder].confirm_opening(&budget(), &opening)
     }
 
     /// Returns the cumulative tokens that a holder may spend according to its own account.
@@ -202,8 +202,8 @@
                     Command::Reply(_, reply) => return self.apply_reply(&request, reply),
                     Command::Transfer { own_grant, draw, max, reply, .. } => {
                         if let Some((granted, opened)) = own_grant {
-                            self.holders[owner].granted(&budget(), granted);
-                            self.holders[owner].opened(&budget(), opened);
+                            self.holders[owner].record_granted(&budget(), granted);
+                            self.holders[owner].record_opened(&budget(), opened);
                         }
                         return self.give(owner, &draw, max, reply);
                     }
@@ -250,8 +250,8 @@
             self.open(holder, Tokens::MAX);
             let sender = Incarnation(holder as u64);
             let received = self.holders[owner].received_from(&budget, sender);
-            let sent = self.holders[holder].give(&budget, me, received, Tokens::MAX);
-            self.holders[owner].received(&budget, sender, sent);
+            let sent = self.holders[holder].transfer(&budget, me, received, Tokens::MAX);
+            self.holders[owner].record_received(&budget, sender, sent);
         }
         let free = self.holders[owner].free(&budget);
         Event::Gathered { budget, free, more_expected: false }
@@ -264,11 +264,11 @@
         }
         if holder != owner {
             let from = &mut self.holders[owner];
-            if !from.can_give(&draw.budget, draw.holder, draw.received, draw.need) {
+            if !from.can_transfer(&draw.budget, draw.holder, draw.received, draw.need) {
                 return Answer::Refused;
             }
-            let sent = from.give(&draw.budget, draw.holder, draw.received, most);
-            self.holders[holder].received(&draw.budget, Incarnation(owner as u64), sent);
+            let sent = from.transfer(&draw.budget, draw.holder, draw.received, most);
+            self.holders[holder].record_received(&draw.budget, Incarnation(owner as u64), sent);
         }
         self.apply_reply(&Request::Draw(draw.clone()), reply)
     }
@@ -277,10 +277,10 @@
         match (request, reply) {
             (Request::Draw(draw), Reply::Granted { granted, opened, recorded, .. }) => {
                 let holder = &mut self.holders[draw.holder.0 as usize];
-                holder.granted(&draw.budget, granted);
-                holder.opened(&draw.budget, opened);
+                holder.record_granted(&draw.budget, granted);
+                holder.record_opened(&draw.budget, opened);
                 if recorded {
-                    holder.witnesses_recorded(&draw.budget, &draw.witnesses);
+                    holder.set_recorded_witnesses(&draw.budget, &draw.witnesses);
                 }
                 Answer::Granted
             }
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bankcove_core::Tokens;
-use bankcove_core::holder::{LEFT_PER_HELD, Reservation};
+use bankcove_core::holder::{LEFT_TO_HELD_RATIO, Reservation};
 use bankcove_core::owner::Request;
 use common::budget;
 use common::direct::{StoreFault, World as Fleet};
@@ -56,7 +56,7 @@
             Step::Return(n, fault) => {
                 self.fleet.now += 3_000;
                 let (terms, now) = (self.fleet.terms, self.fleet.now);
-                self.fleet.daemons[n].holder.return_surplus(&budget(), &terms, now);
+                self.fleet.daemons[n].holder.return_surplus_to_store(&budget(), &terms, now);
                 self.fleet.draw(n, 0, fault);
             }
             Step::Kill(n) => {
@@ -157,7 +157,7 @@
     let left = world.fleet.ledger().available();
     // The bound is weaker than the configured ratio, because some draws may have been made
     // when more tokens were left.
-    assert!(free <= left, "{free} held, {left} left, expected ratio {LEFT_PER_HELD}");
+    assert!(free <= left, "{free} held, {left} left, expected ratio {LEFT_TO_HELD_RATIO}");
 }
 
 #[test]
--- a/crates/core/tests/owner_ration.rs
+++ b/crates/core/tests/owner_ration.rs
@@ -8,7 +8,9 @@
 //! such a loss, 0.39 and 0.49 of the callers from 15 s after the recovery on were served
 //! without rationing, and 0.60 and 0.66 with it; the requirement is a quarter.
 
-use bankcove_core::holder::{Ask, Holder, Keeps, Outlook, Terms, Wish};
+use bankcove_core::holder::{
+    DrawTerms, Holder, Outlook, PrefetchScope, RequestDemand, TokenRequest,
+};
 use bankcove_core::{Incarnation, Millis, Tokens};
 
 mod common;
@@ -25,8 +27,12 @@
 /// Tokens and priority rank of the requests, in turn.
 const REQUESTS: [(Tokens, u32); 4] = [(12_000, 0), (1_100, 1), (2_400, 2), (1_100, 1)];
 
-fn terms() -> Terms {
-    Terms { keeps: Keeps::LeftToOwner, held_ahead: 0.0, ..common::terms(10 * LEFT, 295) }
+fn terms() -> DrawTerms {
+    DrawTerms {
+        prefetch: PrefetchScope::LeftToOwner,
+        held_ahead: 0.0,
+        ..common::terms(10 * LEFT, 295)
+    }
 }
 
 /// Returns an owner that has distributed many tokens during the past 10 s and holds all
@@ -34,24 +40,24 @@
 fn owner(is_store_unavailable: bool) -> Holder {
     let mut owner = Holder::new(OWNER);
     let plenty = 1_000_000_000;
-    owner.granted(&budget(), plenty);
-    owner.opened(&budget(), plenty);
+    owner.record_granted(&budget(), plenty);
+    owner.record_opened(&budget(), plenty);
     for n in 0..1_000 {
         let (tokens, _) = REQUESTS[n as usize % REQUESTS.len()];
         let ask = ask(n, tokens, None, n * INTERVAL_MS);
         owner.allot(&ask, n * INTERVAL_MS).expect("there is plenty");
     }
     let spent = owner.free(&budget()) - LEFT;
-    owner.give(&budget(), Incarnation(9), 0, spent);
+    owner.transfer(&budget(), Incarnation(9), 0, spent);
     // Tokens left in the store are out of reach while it is unavailable.
     let left = if is_store_unavailable { plenty } else { 0 };
-    owner.known(&budget(), Outlook { share: 0, left }, 10_000);
+    owner.set_outlook(&budget(), Outlook { share: 0, left }, 10_000);
     owner
 }
 
-fn ask(asker: u64, tokens: Tokens, wish: Option<Wish>, now: Millis) -> Ask {
+fn ask(asker: u64, tokens: Tokens, demand: Option<RequestDemand>, now: Millis) -> TokenRequest {
     let mut holder = Holder::new(Incarnation(100 + asker));
-    Ask { wish, ..holder.ask(&budget(), Some(OWNER), tokens, &terms(), now) }
+    TokenRequest { demand, ..holder.token_request(&budget(), Some(OWNER), tokens, &terms(), now) }
 }
 
 /// Returns the fraction of all callers that are served from 6 s after the loss on, and the
@@ -62,9 +68,9 @@
     for (n, at) in (0..SIMULATED_MS).step_by(INTERVAL_MS as usize).enumerate() {
         let now = 10_000 + at;
         let (tokens, rank) = REQUESTS[n % REQUESTS.len()];
-        let wish = Wish { tokens, rank, ration_s: RATION_S };
-        let ask = ask(10_000 + n as u64, tokens, Some(wish), now);
-        let ration = owner.ration_of(&budget(), &wish, is_store_unavailable, now);
+        let demand = RequestDemand { tokens, rank, ration_s: RATION_S };
+        let ask = ask(10_000 + n as u64, tokens, Some(demand), now);
+        let ration = owner.ration_for(&budget(), &demand, is_store_unavailable, now);
         let is_admitted = !is_rationed || tokens <= ration;
         let is_served = is_admitted && owner.allot(&ask, now).is_ok();
         if at >= 6_000 {
@@ -97,14 +103,14 @@
 #[test]
 fn nothing_is_rationed_while_plenty_is_left() {
     let mut owner = owner(false);
-    owner.known(&budget(), Outlook { share: 0, left: 100 * LEFT }, 10_000);
-    let wish = Wish { tokens: 40_000, rank: 2, ration_s: RATION_S };
-    assert!(owner.ration_of(&budget(), &wish, false, 10_000) > wish.tokens);
+    owner.set_outlook(&budget(), Outlook { share: 0, left: 100 * LEFT }, 10_000);
+    let demand = RequestDemand { tokens: 40_000, rank: 2, ration_s: RATION_S };
+    assert!(owner.ration_for(&budget(), &demand, false, 10_000) > demand.tokens);
 }
 
 #[test]
 fn an_owner_without_an_outlook_rations_nothing() {
     let owner = Holder::new(OWNER);
-    let wish = Wish { tokens: 40_000, rank: 0, ration_s: RATION_S };
-    assert_eq!(owner.ration_of(&budget(), &wish, false, 0), Tokens::MAX);
+    let demand = RequestDemand { tokens: 40_000, rank: 0, ration_s: RATION_S };
+    assert_eq!(owner.ration_for(&budget(), &demand, false, 0), Tokens::MAX);
 }
--- a/crates/core/tests/owner_reserve.rs
+++ b/crates/core/tests/owner_reserve.rs
@@ -9,7 +9,7 @@
 
 mod common;
 
-use bankcove_core::holder::{Ask, Holder, Outlook, Terms};
+use bankcove_core::holder::{DrawTerms, Holder, Outlook, TokenRequest};
 use bankcove_core::{Incarnation, Millis, Tokens};
 use common::budget;
 
@@ -23,22 +23,22 @@
 /// Reserve for other daemons: a fifth of the half that all holders together may hold.
 const RESERVE: Tokens = TOTAL / 10;
 
-fn terms() -> Terms {
-    Terms { held_ahead: 0.0, kept_for_others: 0.2, ..common::terms(TOTAL, 80) }
+fn terms() -> DrawTerms {
+    DrawTerms { held_ahead: 0.0, kept_for_others: 0.2, ..common::terms(TOTAL, 80) }
 }
 
 fn owner_with(tokens: Tokens) -> Holder {
     let mut owner = Holder::new(OWNER);
-    owner.granted(&budget(), tokens);
-    owner.opened(&budget(), tokens);
-    owner.known(&budget(), Outlook { share: 0, left: TOTAL }, 0);
+    owner.record_granted(&budget(), tokens);
+    owner.record_opened(&budget(), tokens);
+    owner.set_outlook(&budget(), Outlook { share: 0, left: TOTAL }, 0);
     owner
 }
 
-fn ask(need: Tokens, want: Tokens) -> Ask {
+fn ask(need: Tokens, want: Tokens) -> TokenRequest {
     let budget = budget();
     let (owner, rate) = (Some(OWNER), 10 * need);
-    Ask {
+    TokenRequest {
         budget,
         holder: ASKER,
         owner,
@@ -46,7 +46,7 @@
         given_back: 0,
         free: 0,
         need,
-        wish: None,
+        demand: None,
         want,
         rate,
     }
@@ -54,32 +54,32 @@
 
 #[test]
 fn an_owner_draws_for_others_before_the_first_request() {
-    assert!(Holder::new(OWNER).runs_low(&budget(), &terms(), 0));
-    assert!(owner_with(1).runs_low(&budget(), &terms(), 0));
-    assert!(!owner_with(RESERVE).runs_low(&budget(), &terms(), 0));
+    assert!(Holder::new(OWNER).is_low(&budget(), &terms(), 0));
+    assert!(owner_with(1).is_low(&budget(), &terms(), 0));
+    assert!(!owner_with(RESERVE).is_low(&budget(), &terms(), 0));
 }
 
 #[test]
 fn an_owner_returns_none_of_its_reserve_before_a_rate_is_known() {
     let mut owner = owner_with(RESERVE);
-    assert_eq!(owner.return_surplus(&budget(), &terms(), 0), 0);
+    assert_eq!(owner.return_surplus_to_store(&budget(), &terms(), 0), 0);
     let first = owner.reserve(&budget(), 10, 0).expect("the owner holds enough tokens");
     owner.settle(first, 10);
-    assert_eq!(owner.return_surplus(&budget(), &terms(), 1), 0);
-    assert!(owner.return_surplus(&budget(), &terms(), RATE_KNOWN_MS) > RESERVE / 2);
+    assert_eq!(owner.return_surplus_to_store(&budget(), &terms(), 1), 0);
+    assert!(owner.return_surplus_to_store(&budget(), &terms(), RATE_KNOWN_MS) > RESERVE / 2);
 }
 
 #[test]
 fn the_reserve_serves_needs_but_no_prefetching() {
     let mut owner = owner_with(RESERVE);
-    owner.return_surplus(&budget(), &terms(), 0);
+    owner.return_surplus_to_store(&budget(), &terms(), 0);
     let allotted = owner.allot(&ask(100, RESERVE), 0).expect("the owner has enough free tokens");
     assert_eq!(allotted.cumulative, 100);
 }
 
 #[test]
 fn a_daemon_that_owns_nothing_keeps_no_reserve() {
-    let other = Terms { kept_for_others: 0.0, ..terms() };
-    assert!(!owner_with(1).runs_low(&budget(), &other, 0));
-    assert!(owner_with(RESERVE).return_surplus(&budget(), &other, 0) > RESERVE / 2);
+    let other = DrawTerms { kept_for_others: 0.0, ..terms() };
+    assert!(!owner_with(1).is_low(&budget(), &other, 0));
+    assert!(owner_with(RESERVE).return_surplus_to_store(&budget(), &other, 0) > RESERVE / 2);
 }
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -17,7 +17,7 @@
 
 mod common;
 
-use bankcove_core::holder::{Reservation, Terms};
+use bankcove_core::holder::{DrawTerms, Reservation};
 use bankcove_core::{Millis, Tokens};
 use common::budget;
 use common::direct::{StoreFault, World};
@@ -75,7 +75,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let terms = Terms { tokens: DEMAND_PER_S * BUDGET_DURATION_S, ..common::terms(0, DAEMONS) };
+        let terms = DrawTerms { tokens: DEMAND_PER_S * BUDGET_DURATION_S, ..common::terms(0, DAEMONS) };
         let rng = StdRng::seed_from_u64(seed);
         let open = Vec::new();
         let mut world = World::new(terms);
@@ -136,8 +136,8 @@
         let (terms, now) = (self.world.terms, self.world.now);
         for n in 0..DAEMONS as usize {
             let holder = &mut self.world.daemons[n].holder;
-            let returned = holder.return_surplus(&budget(), &terms, now);
-            if returned > 0 || holder.runs_low(&budget(), &terms, now) {
+            let returned = holder.return_surplus_to_store(&budget(), &terms, now);
+            if returned > 0 || holder.is_low(&budget(), &terms, now) {
                 self.world.draw(n, 0, StoreFault::None);
             }
         }
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -128,8 +128,8 @@
                 Command::Transfer { own_grant, ticket, draw, max, reply } => {
                     if let Some((granted, opened)) = own_grant {
                         let mut holder = budgets.holder();
-                        holder.granted(&draw.budget, granted);
-                        holder.opened(&draw.budget, opened);
+                        holder.record_granted(&draw.budget, granted);
+                        holder.record_opened(&draw.budget, opened);
                     }
                     let answer = give(budgets, &draw, max, reply);
                     self.tickets.answer(ticket, answer);
@@ -162,7 +162,7 @@
         ledger.update_row(row.tokens, row.version);
         let terms = terms(budgets, row);
         let outlook = ledger.outlook(budgets.fleet.base.incarnation, &terms);
-        budgets.holder().known(budget, outlook, now);
+        budgets.holder().set_outlook(budget, outlook, now);
     }
 }
 
@@ -238,7 +238,7 @@
         // would ask for them again and again.
         holder.free(&draw.budget) >= draw.need
     } else {
-        holder.can_give(&draw.budget, draw.holder, draw.received, draw.need)
+        holder.can_transfer(&draw.budget, draw.holder, draw.received, draw.need)
     };
     if !is_there {
         let retry_after_ms = RETRY_SOON_MS;
@@ -247,7 +247,7 @@
     if is_own {
         return OwnerAnswer { reply, sent: None };
     }
-    let cumulative = holder.give(&draw.budget, draw.holder, draw.received, most);
+    let cumulative = holder.transfer(&draw.budget, draw.holder, draw.received, most);
     OwnerAnswer { reply, sent: Some((budgets.fleet.base.incarnation, cumulative)) }
 }
 
