--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p bankcove-bench --bench decision`
 
 use bankcove_bench::routing_world::table;
-use bankcove_core::router::{Router, Wanted};
+use bankcove_core::router::{Router, RoutingRequest};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 fn decide(c: &mut Criterion) {
@@ -15,7 +15,7 @@
         group.bench_with_input(BenchmarkId::from_parameter(servers), &router, |b, router| {
             b.iter(|| {
                 seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                let wanted = Wanted {
+                let wanted = RoutingRequest {
                     pool: "m",
                     prefix: seed,
                     prompt_tokens: 0,
--- a/crates/bench/src/hint_world.rs
+++ b/crates/bench/src/hint_world.rs
@@ -10,7 +10,7 @@
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::LeavingFact;
 use bankcove_core::limits::Returns;
-use bankcove_core::router::{Choice, Homes, NoServer, Router, Wanted};
+use bankcove_core::router::{Choice, Homes, NoServer, Router, RoutingRequest};
 use bankcove_core::table::Table;
 use bankcove_core::{Millis, Name};
 use hdrhistogram::Histogram;
@@ -256,7 +256,7 @@
     fn choose(&mut self, req: Req) {
         let now = self.now;
         let seed = self.rng.random();
-        let wanted = Wanted {
+        let wanted = RoutingRequest {
             pool: "m",
             prefix: req.prefix,
             prompt_tokens: 0,
@@ -285,7 +285,7 @@
     fn send(&mut self, mut req: Req, choice: Choice) {
         let now = self.now;
         let router = &mut self.daemons[req.daemon].router;
-        router.sent(&choice.server, choice.started_ms, 0);
+        router.record_sent(&choice.server, choice.started_ms, 0);
         req.tried.push(choice.server.clone());
         let rows = self.table.servers.iter();
         let Some(server) = rows.into_iter().position(|row| row.name == choice.server) else {
@@ -328,7 +328,7 @@
 
     fn head(&mut self, req: Req, choice: &Choice, head: Head) {
         let now = self.now;
-        self.daemons[req.daemon].router.ended(now, &choice.server, choice.started_ms, true);
+        self.daemons[req.daemon].router.record_ended(now, &choice.server, choice.started_ms, true);
         self.observe(req.daemon, choice, head);
         if head.ran {
             self.out.served += 1;
--- a/crates/bench/src/hint_world/words.rs
+++ b/crates/bench/src/hint_world/words.rs
@@ -81,7 +81,7 @@
 
     pub(super) fn beat(&mut self, daemon: usize) {
         self.events.at(self.now + HEARTBEAT_MS, Event::Beat { daemon });
-        self.daemons[daemon].router.forget_closed(self.now);
+        self.daemons[daemon].router.expire_closed(self.now);
         for peer in self.peers(daemon, HEARTBEAT_FANOUT) {
             let is_frozen = self.setup.troubles.thaws_at(peer, self.now).is_some();
             let digest = |n: usize| self.daemons[n].router.leaving_digest();
--- a/crates/bench/src/routing_world.rs
+++ b/crates/bench/src/routing_world.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use bankcove_core::router::{Homes, LoadReport, Router, Wanted};
+use bankcove_core::router::{Homes, LoadReport, Router, RoutingRequest};
 use bankcove_core::table::Table;
 use bankcove_core::{Millis, Name};
 use hdrhistogram::Histogram;
@@ -228,9 +228,9 @@
             let Some(server) = self.choose(&request, &tried) else { break };
             let name = Name::from(format!("server-{server}"));
             let router = &mut self.routers[request.daemon];
-            router.sent(&name, 0, 0);
+            router.record_sent(&name, 0, 0);
             if self.refuses(server) {
-                self.routers[request.daemon].ended(self.now, &name, 0, false);
+                self.routers[request.daemon].record_ended(self.now, &name, 0, false);
                 self.outcome.sent_again += 1;
                 tried.push(name);
                 continue;
@@ -245,7 +245,7 @@
     fn choose(&mut self, request: &Request, tried: &[Name]) -> Option<usize> {
         match self.rule {
             Rule::Design => {
-                let wanted = Wanted {
+                let wanted = RoutingRequest {
                     pool: "m",
                     prefix: request.prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                     prompt_tokens: 0,
@@ -296,7 +296,7 @@
     fn ends(&mut self, server: usize, request: Request) {
         self.engines[server].running -= 1;
         let name = Name::from(format!("server-{server}"));
-        self.routers[request.daemon].ended(self.now, &name, 0, true);
+        self.routers[request.daemon].record_ended(self.now, &name, 0, true);
         self.start(server);
     }
 
@@ -307,7 +307,7 @@
             let name = Name::from(format!("server-{n}"));
             for router in &mut self.routers {
                 let report = LoadReport { running, waiting, leaving: false, started_ms: 0 };
-                router.report(self.now, &name, report);
+                router.record_load_report(self.now, &name, report);
             }
         }
     }
--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -9,27 +9,27 @@
 
 /// Part of the link that requests may use: the rest is for packets' headers,
 /// acknowledgements and calls between daemons.
-const USABLE_PART: f64 = 0.8;
+const USABLE_FRACTION: f64 = 0.8;
 
 /// Bytes that each piece sent costs beyond its own: headers of a packet.
-const PIECE_OVERHEAD: f64 = 60.0;
+const CHUNK_OVERHEAD_BYTES: f64 = 60.0;
 
 /// How far ahead the link may be promised to requests of each rank, in
 /// milliseconds; the last one is for all further ranks. Streams send what they
 /// were promised over some seconds, so this is more than packets wait.
-const PROMISED_MS: [f64; 3] = [1_500.0, 1_000.0, 600.0];
+const MAX_BACKLOG_MS: [f64; 3] = [1_500.0, 1_000.0, 600.0];
 
 /// Bits in a megabit, and in a byte.
-const MEGABIT: f64 = 1e6;
-const BYTE: f64 = 8.0;
+const BITS_PER_MEGABIT: f64 = 1e6;
+const BITS_PER_BYTE: f64 = 8.0;
 
 /// The sending side of a link; what comes in is about as much, since a daemon
 /// hands on what it gets.
 #[derive(Debug, Clone)]
 pub struct Link {
     bytes_per_ms: f64,
-    promised: f64,
-    at: Millis,
+    reserved_bytes: f64,
+    updated_at: Millis,
 }
 
 /// What one request sends in all: its body to a server, its answer to the caller.
@@ -38,51 +38,51 @@
     /// Bytes of bodies and events.
     pub bytes: u64,
     /// Pieces that they are sent in.
-    pub pieces: u64,
+    pub chunks: u64,
 }
 
 impl Traffic {
     /// Adds a piece.
     pub fn add(&mut self, bytes: usize) {
         self.bytes += bytes as u64;
-        self.pieces += 1;
+        self.chunks += 1;
     }
 
     fn cost(self) -> f64 {
-        self.bytes as f64 + self.pieces as f64 * PIECE_OVERHEAD
+        self.bytes as f64 + self.chunks as f64 * CHUNK_OVERHEAD_BYTES
     }
 }
 
 impl Link {
     /// A link of so many megabits a second.
     pub fn new(mbps: f64) -> Self {
-        let bytes_per_ms = mbps * MEGABIT / BYTE / 1_000.0 * USABLE_PART;
-        Link { bytes_per_ms, promised: 0.0, at: 0 }
+        let bytes_per_ms = mbps * BITS_PER_MEGABIT / BITS_PER_BYTE / 1_000.0 * USABLE_FRACTION;
+        Link { bytes_per_ms, reserved_bytes: 0.0, updated_at: 0 }
     }
 
     /// Time that what is promised takes to be sent, in milliseconds.
-    pub fn promised_ms(&mut self, now: Millis) -> f64 {
-        let sent = now.saturating_sub(self.at) as f64 * self.bytes_per_ms;
-        self.promised = (self.promised - sent).max(0.0);
-        self.at = self.at.max(now);
-        self.promised / self.bytes_per_ms
+    pub fn backlog_ms(&mut self, now: Millis) -> f64 {
+        let sent = now.saturating_sub(self.updated_at) as f64 * self.bytes_per_ms;
+        self.reserved_bytes = (self.reserved_bytes - sent).max(0.0);
+        self.updated_at = self.updated_at.max(now);
+        self.reserved_bytes / self.bytes_per_ms
     }
 
     /// Promises the link to a request of this rank (0 is the highest), unless it
     /// is promised too far ahead already.
-    pub fn promise(&mut self, expected: Traffic, rank: u32, now: Millis) -> bool {
-        let last = PROMISED_MS.len() - 1;
-        let limit = PROMISED_MS[(rank as usize).min(last)];
-        if self.promised_ms(now) > limit {
+    pub fn reserve(&mut self, expected: Traffic, rank: u32, now: Millis) -> bool {
+        let last = MAX_BACKLOG_MS.len() - 1;
+        let limit = MAX_BACKLOG_MS[(rank as usize).min(last)];
+        if self.backlog_ms(now) > limit {
             return false;
         }
-        self.promised += expected.cost();
+        self.reserved_bytes += expected.cost();
         true
     }
 
     /// Corrects a promise once the request has ended.
-    pub fn ended(&mut self, expected: Traffic, sent: Traffic, now: Millis) {
-        self.promised_ms(now);
-        self.promised = (self.promised + sent.cost() - expected.cost()).max(0.0);
+    pub fn settle(&mut self, expected: Traffic, sent: Traffic, now: Millis) {
+        self.backlog_ms(now);
+        self.reserved_bytes = (self.reserved_bytes + sent.cost() - expected.cost()).max(0.0);
     }
 }
--- a/crates/core/src/retry_budget.rs
+++ b/crates/core/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The part of the fleet's retries that one daemon may spend.
 //!
-//! A service may get, in any window, so many repeats: a share of its requests
+//! A service may get, in any window, so many retries: a share of its requests
 //! and some more. Each daemon spends the share on its own requests, and an
 //! equal part of the rest, so that no two have to agree.
 
@@ -10,9 +10,9 @@
 
 /// Part of the allowance that is spent: windows of the daemons and of whoever
 /// counts do not begin together, and daemons may join or leave meanwhile.
-const USED_PART: f64 = 0.6;
+const USABLE_FRACTION: f64 = 0.6;
 
-/// What the fleet may spend on repeats.
+/// What the fleet may spend on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
     /// Repeats for each request of the same service, 0 to 1.
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 /// Repeats of one daemon, by service.
@@ -48,24 +48,24 @@
     }
 
     /// Takes in a request for `service`.
-    pub fn request(&mut self, service: &Name, now: Millis) {
+    pub fn record_request(&mut self, service: &Name, now: Millis) {
         let window_ms = self.allowance.window_ms;
         let counts = self.counts(service);
         counts.requests.push_back(now);
-        forget(&mut counts.requests, now, window_ms);
+        expire(&mut counts.requests, now, window_ms);
     }
 
     /// Whether one more repeat may go to `service`; it is counted then.
     /// `daemons` share the allowance.
-    pub fn repeat(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
+    pub fn try_retry(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
         let Allowance { ratio, extra, window_ms } = self.allowance;
         let counts = self.counts(service);
-        forget(&mut counts.requests, now, window_ms);
-        forget(&mut counts.repeats, now, window_ms);
-        let mine = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
-        let allowed = (counts.repeats.len() as f64) < mine * USED_PART;
+        expire(&mut counts.requests, now, window_ms);
+        expire(&mut counts.retries, now, window_ms);
+        let allowed_retries = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
+        let allowed = (counts.retries.len() as f64) < allowed_retries * USABLE_FRACTION;
         if allowed {
-            counts.repeats.push_back(now);
+            counts.retries.push_back(now);
         }
         allowed
     }
@@ -75,7 +75,7 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
+fn expire(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
     while times.front().is_some_and(|at| at + window_ms <= now) {
         times.pop_front();
     }
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -8,17 +8,17 @@
 //! costs a binary search and a few looks, whatever the number of servers.
 
 mod choose;
-mod closed;
-mod elsewhere;
+mod closed_servers;
 mod load;
+mod peer_unread;
 mod pool;
-mod reading;
+mod prefill;
 mod status;
 mod view;
 
-pub use choose::{AtLimit, Choice, Homes, NoServer, Resting, Wanted};
-pub use elsewhere::{Unread, UnreadNews};
-pub use reading::{ServerPace, StreamPace};
+pub use choose::{AtLimit, Choice, Homes, NoServer, Resting, RoutingRequest};
+pub use peer_unread::{UnreadReport, UnreadTokens};
+pub use prefill::{ServerPace, StreamPace};
 pub use status::{Availability, ServerStatus};
 pub use view::{LoadReport, ServerView};
 
@@ -26,11 +26,12 @@
 
 use crate::crashes::ServerStart;
 use crate::hints::{LeavingStarts, Rests};
-use crate::router::elsewhere::Elsewhere;
+use crate::router::peer_unread::PeerUnread;
 use crate::router::pool::{HallPool, Pool};
-use crate::router::reading::{Reading, mean};
+use crate::router::prefill::{PrefillStats, mean};
 use crate::router::view::{
-    EJECT_AFTER, EJECT_MAX_MS, EJECT_MS, LEAVING_WORD_MS, MOST_EJECTED, SLOW_RETURN_MS,
+    FAILURES_TO_EJECT, FIRST_EJECTION_MS, LEAVING_REPORT_TTL_MS, MAX_EJECTION_MS, POOL_PER_EJECTED,
+    SLOW_START_MS,
 };
 use crate::table::{RouteTarget, Server, ServerKind, Table};
 use crate::{Millis, Name, Tokens};
@@ -43,9 +44,9 @@
     pools: HashMap<Name, Pool>,
     pools_of_server: Vec<Vec<(Name, usize)>>,
     /// What streams have shown, by pool; it outlives the table.
-    reading: HashMap<Name, Reading>,
+    prefill: HashMap<Name, PrefillStats>,
     /// What peers have under way.
-    elsewhere: Elsewhere,
+    peer_unread: PeerUnread,
     /// Starts of servers that leave, also of those that are not in the table now.
     leaving: LeavingStarts,
     /// Starts of servers that rest.
@@ -115,44 +116,44 @@
     }
 
     /// Takes in which servers the platform lists as leaving.
-    pub fn listed_leaving(&mut self, leaving: &[Name]) {
+    pub fn set_listed_leaving(&mut self, leaving: &[Name]) {
         for view in &mut self.servers {
             view.listed_leaving = leaving.contains(&view.name);
         }
     }
 
     /// Takes in a server's load report.
-    pub fn report(&mut self, now: Millis, name: &Name, report: LoadReport) {
-        self.learn_start(now, name, report.started_ms);
+    pub fn record_load_report(&mut self, now: Millis, name: &Name, report: LoadReport) {
+        self.record_reported_start(now, name, report.started_ms);
         self.change_load(name, |view| {
             view.reported = report.running + report.waiting;
             view.in_flight_at_report = view.in_flight;
-            view.leaving_until = if report.leaving { now + LEAVING_WORD_MS } else { 0 };
+            view.leaving_until = if report.leaving { now + LEAVING_REPORT_TTL_MS } else { 0 };
         });
     }
 
     /// Whether this start of a server is the one that is known.
-    pub fn knows_start(&self, name: &Name, start: Millis) -> bool {
+    pub fn is_current_start(&self, name: &Name, start: Millis) -> bool {
         self.index_of_start(name, start).is_some()
     }
 
     /// Whether this start of a server is known and does not leave.
-    pub fn is_staying(&self, now: Millis, name: &Name, start: Millis) -> bool {
+    pub fn is_current_and_staying(&self, now: Millis, name: &Name, start: Millis) -> bool {
         let index = self.index_of_start(name, start);
         index.is_some_and(|index| !self.servers[index].is_leaving(now))
     }
 
     /// Takes in that this start of a server refused work because it is leaving.
-    pub fn said_leaving(&mut self, now: Millis, name: &Name, start: Millis) {
+    pub fn record_leaving_refusal(&mut self, now: Millis, name: &Name, start: Millis) {
         if self.index_of_start(name, start).is_none() {
             return;
         }
-        self.change_load(name, |view| view.leaving_until = now + LEAVING_WORD_MS);
+        self.change_load(name, |view| view.leaving_until = now + LEAVING_REPORT_TTL_MS);
     }
 
     /// Takes in how many requests a second this start of a server takes from all daemons, by
     /// its own word; none when it names no limit any more.
-    pub fn limited(&mut self, now: Millis, server: &ServerStart, per_second: Option<f64>) {
+    pub fn set_rate_limit(&mut self, now: Millis, server: &ServerStart, per_second: Option<f64>) {
         let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
         let view = &mut self.servers[index];
         if view.limit_per_s.is_some() && per_second.is_none() {
@@ -164,24 +165,24 @@
 
     /// Takes in that this start of a server gets nothing from this daemon until then, by its
     /// limit of so many requests a second.
-    pub fn at_limit(&mut self, server: &ServerStart, per_second: f64, until: Millis) {
+    pub fn block_for_rate_limit(&mut self, server: &ServerStart, per_second: f64, until: Millis) {
         let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
         self.servers[index].limit_per_s = Some(per_second);
         self.servers[index].no_permit_until = until;
     }
 
     /// The servers of a pool that get nothing from this daemon for their limits or rests.
-    pub fn servers_held_back(&self, now: Millis, pool: &Name) -> Vec<String> {
+    pub fn throttled_servers(&self, now: Millis, pool: &Name) -> Vec<String> {
         let halls = self.pools.get(pool).map(|pool| &pool.halls);
         let members = halls.into_iter().flatten().flat_map(|hall| &hall.members);
         let views = members.map(|index| &self.servers[*index as usize]);
-        let held_back = views.filter(|view| view.is_at_limit(now) || view.rests(now));
+        let held_back = views.filter(|view| view.is_at_limit(now) || view.is_resting(now));
         held_back.map(|view| view.name.to_string()).collect()
     }
 
     /// Takes in that a request with a prompt of this length was sent to this start of a
     /// server; 0 for a request without a prompt.
-    pub fn sent(&mut self, name: &Name, start: Millis, prompt: Tokens) {
+    pub fn record_sent(&mut self, name: &Name, start: Millis, prompt: Tokens) {
         let Some(index) = self.index_of_start(name, start) else { return };
         self.change_load(name, |view| {
             view.in_flight += 1;
@@ -189,13 +190,13 @@
         });
         if prompt > 0 {
             for (pool, _) in &self.pools_of_server[index] {
-                self.reading.entry(pool.clone()).or_default().sent(prompt);
+                self.prefill.entry(pool.clone()).or_default().record_prompt(prompt);
             }
         }
     }
 
     /// Takes in that a prompt of this length has been read there, or is given up.
-    pub fn read(&mut self, name: &Name, start: Millis, prompt: Tokens) {
+    pub fn record_prompt_read(&mut self, name: &Name, start: Millis, prompt: Tokens) {
         if self.index_of_start(name, start).is_none() {
             return;
         }
@@ -203,24 +204,24 @@
     }
 
     /// Takes in that a request there has ended, well or not.
-    pub fn ended(&mut self, now: Millis, name: &Name, start: Millis, well: bool) {
+    pub fn record_ended(&mut self, now: Millis, name: &Name, start: Millis, well: bool) {
         let Some(index) = self.index_of_start(name, start) else { return };
         // Counts the pool's servers, so only where it matters.
-        let is_due = !well && self.servers[index].failures + 1 >= EJECT_AFTER;
+        let is_due = !well && self.servers[index].failures + 1 >= FAILURES_TO_EJECT;
         let may_eject = is_due && self.may_eject(now, index);
         self.change_load(name, |view| {
             view.in_flight = view.in_flight.saturating_sub(1);
             if well {
                 view.failures = 0;
-                if now >= view.ejected_until + SLOW_RETURN_MS {
+                if now >= view.ejected_until + SLOW_START_MS {
                     view.ejections = 0;
                 }
                 return;
             }
             view.failures += 1;
             if may_eject {
-                let pause = EJECT_MS << view.ejections.min(5);
-                view.ejected_until = now + pause.min(EJECT_MAX_MS);
+                let pause = FIRST_EJECTION_MS << view.ejections.min(5);
+                view.ejected_until = now + pause.min(MAX_EJECTION_MS);
                 view.ejections += 1;
                 view.failures = 0;
             }
@@ -241,14 +242,14 @@
                 all += 1;
                 ejected += usize::from(now < view.ejected_until);
             }
-            (ejected + 1) * MOST_EJECTED <= all
+            (ejected + 1) * POOL_PER_EJECTED <= all
         })
     }
 
     /// What this daemon has sent that is still to be read, by server.
-    pub fn unread(&self) -> Vec<Unread> {
+    pub fn unread_by_server(&self) -> Vec<UnreadTokens> {
         let unread = self.servers.iter().filter(|view| view.unread > 0);
-        let news = |view: &ServerView| Unread {
+        let news = |view: &ServerView| UnreadTokens {
             server: view.name.clone(),
             started_ms: view.started_ms,
             tokens: view.unread,
@@ -257,10 +258,10 @@
     }
 
     /// Takes in what a peer has sent that is still to be read.
-    pub fn told_unread(&mut self, now: Millis, news: &UnreadNews) {
-        let Some(before) = self.elsewhere.told(now, news) else { return };
+    pub fn merge_unread_report(&mut self, now: Millis, news: &UnreadReport) {
+        let Some(before) = self.peer_unread.merge(now, news) else { return };
         for part in &before {
-            self.take_off(part);
+            self.subtract_unread(part);
         }
         for part in &news.unread {
             if self.index_of_start(&part.server, part.started_ms).is_none() {
@@ -271,13 +272,13 @@
     }
 
     /// Forgets what peers have told too long ago.
-    pub fn forget_old_news(&mut self, now: Millis) {
-        for part in self.elsewhere.forget_old(now) {
-            self.take_off(&part);
+    pub fn expire_unread_reports(&mut self, now: Millis) {
+        for part in self.peer_unread.expire(now) {
+            self.subtract_unread(&part);
         }
     }
 
-    fn take_off(&mut self, part: &Unread) {
+    fn subtract_unread(&mut self, part: &UnreadTokens) {
         if self.index_of_start(&part.server, part.started_ms).is_none() {
             return;
         }
@@ -286,13 +287,13 @@
     }
 
     /// Takes in how a stream came that has ended there.
-    pub fn streamed(&mut self, name: &Name, start: Millis, pace: StreamPace) {
+    pub fn record_stream_pace(&mut self, name: &Name, start: Millis, pace: StreamPace) {
         let Some(index) = self.index_of_start(name, start) else { return };
         self.change_pace(index, pace.event_ms);
         for (name, _) in &self.pools_of_server[index] {
             let Some(pool) = self.pools.get(name) else { continue };
-            let reading = self.reading.entry(name.clone()).or_default();
-            reading.streamed(&self.servers[index], pace, &pool.mean_pace);
+            let prefill = self.prefill.entry(name.clone()).or_default();
+            prefill.record_stream(&self.servers[index], pace, &pool.mean_pace);
         }
     }
 
@@ -304,7 +305,7 @@
     }
 
     /// Takes in what a peer has told of servers.
-    pub fn heard_paces(&mut self, paces: &[ServerPace]) {
+    pub fn merge_paces(&mut self, paces: &[ServerPace]) {
         for pace in paces {
             if let Some(index) = self.index_of_start(&pace.server, pace.started_ms) {
                 self.change_pace(index, pace.event_ms());
@@ -331,9 +332,9 @@
 
     fn change_load(&mut self, name: &Name, change: impl FnOnce(&mut ServerView)) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
-        let before = self.servers[index].load_in_all();
+        let before = self.servers[index].total_load();
         change(&mut self.servers[index]);
-        let after = self.servers[index].load_in_all();
+        let after = self.servers[index].total_load();
         for (pool, hall) in &self.pools_of_server[index] {
             if let Some(pool) = self.pools.get_mut(pool) {
                 pool.halls[*hall].load.change(&before, &after);
@@ -365,11 +366,11 @@
                 hall.ring.sort_unstable();
             }
         }
-        self.take_pause_goals(table);
+        self.set_pause_goals(table);
     }
 
     /// The tightest goal of the routes that lead to a pool holds for its streams.
-    fn take_pause_goals(&mut self, table: &Table) {
+    fn set_pause_goals(&mut self, table: &Table) {
         for route in &table.routes {
             let RouteTarget::Host { split, .. } = &route.target else { continue };
             let Some(goal) = route.pause_goal_ms else { continue };
@@ -392,7 +393,7 @@
             pool.halls.len() - 1
         });
         pool.mean_pace.change(None, self.servers[index].event_ms);
-        pool.halls[place].add(row, index as u32, self.servers[index].load_in_all());
+        pool.halls[place].add(row, index as u32, self.servers[index].total_load());
         self.pools_of_server[index].push((name.clone(), place));
     }
 }
--- a/crates/core/src/router/choose.rs
+++ b/crates/core/src/router/choose.rs
@@ -9,10 +9,10 @@
 use crate::{Millis, Name, Tokens};
 
 /// Requests that a server may have beyond its part, so that idle halls keep affinity.
-const LOAD_SLACK: f64 = 4.0;
+const SLACK_REQUESTS: f64 = 4.0;
 
 /// Servers looked at along the ring before any usable one is taken.
-const LOOKS: usize = 16;
+const MAX_PROBES: usize = 16;
 
 /// Why no server was found.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -92,7 +92,7 @@
 
 /// What a request asks the router for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct RoutingRequest<'a> {
     /// The pool: a model's name, or a service route's name.
     pub pool: &'a str,
     /// Hash of the prompt's prefix.
@@ -109,9 +109,9 @@
     pub homes: Homes<'a>,
 }
 
-/// What a walk along the halls has come to.
+/// What a search along the halls has come to.
 #[derive(Debug, Default)]
-struct Walk<'a> {
+struct HallSearch<'a> {
     /// The first server whose streams would not be disturbed: equal prefixes go there
     /// unless it has too much to do.
     first: Option<&'a ServerView>,
@@ -124,16 +124,19 @@
     ///
     /// # Errors
     /// [`NoServer`] tells whether the table has none or none is usable now.
-    pub fn choose(&self, now: Millis, wanted: &Wanted) -> Result<Choice, NoServer> {
-        let pool = self.pools.get(wanted.pool).ok_or(NoServer::NoneInTable)?;
-        let halls = self.halls_in_order(pool, wanted);
+    pub fn choose(&self, now: Millis, request: &RoutingRequest) -> Result<Choice, NoServer> {
+        let pool = self.pools.get(request.pool).ok_or(NoServer::NoneInTable)?;
+        let halls = self.ranked_halls(pool, request);
         if halls.is_empty() {
             return Err(NoServer::NoHall);
         }
-        let walk = self.walk(now, pool, &halls, wanted);
-        let any = || halls.iter().find_map(|hall| self.least_loaded(now, hall, wanted));
-        let view = walk.fitting.or_else(any).ok_or_else(|| self.why_none(now, &halls, wanted))?;
-        let other = walk.first.filter(|first| first.name != view.name);
+        let search = self.search_halls(now, pool, &halls, request);
+        let any = || halls.iter().find_map(|hall| self.least_loaded(now, hall, request));
+        let view = search
+            .fitting
+            .or_else(any)
+            .ok_or_else(|| self.no_server_reason(now, &halls, request))?;
+        let other = search.first.filter(|first| first.name != view.name);
         Ok(Choice {
             server: view.name.clone(),
             started_ms: view.started_ms,
@@ -147,35 +150,40 @@
     ///
     /// # Errors
     /// As [`Router::choose`].
-    pub fn choose_apart(
+    pub fn choose_ranked(
         &self,
         now: Millis,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         rank: usize,
     ) -> Result<Choice, NoServer> {
-        let mut taken = wanted.tried.to_vec();
-        let mut choice = self.choose(now, wanted)?;
+        let mut taken = request.tried.to_vec();
+        let mut choice = self.choose(now, request)?;
         for _ in 0..rank {
             taken.push(choice.server.clone());
-            match self.choose(now, &Wanted { tried: &taken, ..*wanted }) {
+            match self.choose(now, &RoutingRequest { tried: &taken, ..*request }) {
                 Ok(next) => choice = next,
-                Err(_) => return self.choose(now, wanted),
+                Err(_) => return self.choose(now, request),
             }
         }
         Ok(choice)
     }
 
     /// Why no server of these halls is usable.
-    fn why_none(&self, now: Millis, halls: &[&HallPool], wanted: &Wanted) -> NoServer {
+    fn no_server_reason(
+        &self,
+        now: Millis,
+        halls: &[&HallPool],
+        request: &RoutingRequest,
+    ) -> NoServer {
         let members = halls.iter().flat_map(|hall| &hall.members);
         let views = members.map(|index| &self.servers[*index as usize]);
         let left: Vec<&ServerView> = views
-            .filter(|view| view.could_serve(now) && !wanted.tried.contains(&view.name))
+            .filter(|view| view.is_eligible(now) && !request.tried.contains(&view.name))
             .collect();
         let (cold, warm): (Vec<&ServerView>, Vec<&ServerView>) =
             left.into_iter().partition(|view| view.is_cold(now));
         let (resting, awake): (Vec<&ServerView>, Vec<&ServerView>) =
-            warm.into_iter().partition(|view| view.rests(now));
+            warm.into_iter().partition(|view| view.is_resting(now));
         let limited = awake.iter().filter(|view| view.is_at_limit(now));
         if let Some(first_at) = limited.clone().map(|view| view.no_permit_until).min() {
             let per_second = limited.filter_map(|view| view.limit_per_s).sum();
@@ -193,46 +201,50 @@
 
     /// Goes along the halls until a server fits: another hall is nearer than a long
     /// wait, or than streams that are disturbed.
-    fn walk<'a>(
+    fn search_halls<'a>(
         &'a self,
         now: Millis,
         pool: &Pool,
         halls: &[&'a HallPool],
-        wanted: &'a Wanted,
-    ) -> Walk<'a> {
-        let reading = self.reading.get(wanted.pool).copied().unwrap_or_default();
-        let is_long = reading.is_long(wanted.prompt_tokens);
-        let disturbs =
-            |view: &ServerView| is_long && reading.disturbs(view, pool.pause_goal, &pool.mean_pace);
-        let slack = Load { requests: LOAD_SLACK, unread: reading.unread_slack() };
-        let mut walk = Walk::default();
+        request: &'a RoutingRequest,
+    ) -> HallSearch<'a> {
+        let prefill = self.prefill.get(request.pool).copied().unwrap_or_default();
+        let is_long = prefill.is_long(request.prompt_tokens);
+        let exceeds_goal = |view: &ServerView| {
+            is_long && prefill.exceeds_pause_goal(view, pool.pause_goal, &pool.mean_pace)
+        };
+        let slack = Load { requests: SLACK_REQUESTS, unread: prefill.unread_slack() };
+        let mut search = HallSearch::default();
         for hall in halls {
             let bound = hall.load.bound(hall.members.len(), slack);
             let has_room = |view: &ServerView| {
-                view.load_in_all().is_within(&bound) && !view.holds_back(now, wanted.seed)
+                view.total_load().is_within(&bound)
+                    && !view.is_shed_by_slow_start(now, request.seed)
             };
-            for view in self.usable_near(now, hall, wanted).filter(|view| !disturbs(view)) {
-                walk.first.get_or_insert(view);
+            for view in
+                self.usable_candidates(now, hall, request).filter(|view| !exceeds_goal(view))
+            {
+                search.first.get_or_insert(view);
                 if has_room(view) {
-                    walk.fitting = Some(view);
-                    return walk;
+                    search.fitting = Some(view);
+                    return search;
                 }
             }
         }
-        walk
+        search
     }
 
     /// The pool's halls that take requests in this hour, the prefix's first hall first.
-    fn halls_in_order<'a>(&self, pool: &'a Pool, wanted: &Wanted) -> Vec<&'a HallPool> {
+    fn ranked_halls<'a>(&self, pool: &'a Pool, request: &RoutingRequest) -> Vec<&'a HallPool> {
         // A hall where this request has failed already comes last: when one
         // server does not answer, its neighbours may not either.
-        let failed: Vec<&Name> = wanted.tried.iter().filter_map(|n| self.hall_of(n)).collect();
+        let failed: Vec<&Name> = request.tried.iter().filter_map(|n| self.hall_of(n)).collect();
         let mut halls: Vec<(bool, f64, &HallPool)> = pool
             .halls
             .iter()
-            .filter(|hall| hall.weights[wanted.hour % HOURS] > 0.0)
-            .filter(|hall| hall.may_serve(&wanted.homes))
-            .map(|hall| (failed.contains(&&hall.hall), hall.score(wanted), hall))
+            .filter(|hall| hall.weights[request.hour % HOURS] > 0.0)
+            .filter(|hall| hall.may_serve(&request.homes))
+            .map(|hall| (failed.contains(&&hall.hall), hall.score(request), hall))
             .collect();
         halls.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
         halls.into_iter().map(|(_, _, hall)| hall).collect()
@@ -244,15 +256,15 @@
     }
 
     /// The usable servers of a hall among the first ones along its ring.
-    fn usable_near<'a>(
+    fn usable_candidates<'a>(
         &'a self,
         now: Millis,
         hall: &'a HallPool,
-        wanted: &'a Wanted,
+        request: &'a RoutingRequest,
     ) -> impl Iterator<Item = &'a ServerView> {
         let is_usable =
-            move |view: &&ServerView| view.is_usable(now) && !wanted.tried.contains(&view.name);
-        self.looks(hall, wanted.prefix).filter(is_usable)
+            move |view: &&ServerView| view.is_usable(now) && !request.tried.contains(&view.name);
+        self.probe_ring(hall, request.prefix).filter(is_usable)
     }
 
     /// The least loaded of them; when there is none, any usable server of the hall.
@@ -260,21 +272,24 @@
         &'a self,
         now: Millis,
         hall: &'a HallPool,
-        wanted: &'a Wanted,
+        request: &'a RoutingRequest,
     ) -> Option<&'a ServerView> {
-        let near = self.usable_near(now, hall, wanted);
-        let least = near.reduce(|least, view| {
-            if view.load_in_all().is_less(&least.load_in_all()) { view } else { least }
-        });
+        let near = self.usable_candidates(now, hall, request);
+        let least =
+            near.reduce(
+                |least, view| {
+                    if view.total_load().is_less(&least.total_load()) { view } else { least }
+                },
+            );
         least.or_else(|| {
-            let start = wanted.seed as usize % hall.members.len().max(1);
+            let start = request.seed as usize % hall.members.len().max(1);
             let around = hall.members[start..].iter().chain(&hall.members[..start]);
             let mut views = around.map(|index| &self.servers[*index as usize]);
-            views.find(|view| view.is_usable(now) && !wanted.tried.contains(&view.name))
+            views.find(|view| view.is_usable(now) && !request.tried.contains(&view.name))
         })
     }
 
-    fn looks<'a>(
+    fn probe_ring<'a>(
         &'a self,
         hall: &'a HallPool,
         prefix: u64,
@@ -284,6 +299,6 @@
         let mut last = u32::MAX;
         let distinct =
             around.filter(move |(_, index)| std::mem::replace(&mut last, *index) != *index);
-        distinct.take(LOOKS).map(|(_, index)| &self.servers[*index as usize])
+        distinct.take(MAX_PROBES).map(|(_, index)| &self.servers[*index as usize])
     }
 }
--- a/crates/core/src/router/closed.rs
+++ b/crates/core/src/router/closed_servers.rs
@@ -14,7 +14,7 @@
     /// # Errors
     /// [`Closed`] tells what it has said.
     pub fn check_open(&self, now: Millis, server: &ServerStart) -> Result<(), Closed> {
-        let start = self.known_start(server);
+        let start = self.resolve_start(server);
         if self.leaving.contains(&start) {
             return Err(Closed::Leaving);
         }
@@ -30,9 +30,9 @@
     /// Takes in that this start of a server says that it leaves; returns the fact for peers
     /// when that is new.
     pub fn observe_leaving(&mut self, now: Millis, server: &ServerStart) -> Option<LeavingFact> {
-        let server = self.known_start(server);
+        let server = self.resolve_start(server);
         let is_new = self.leaving.add(now, &server, 0);
-        self.refresh(&server.name);
+        self.refresh_view(&server.name);
         is_new.then_some(LeavingFact { server, age_ms: 0 })
     }
 
@@ -40,7 +40,7 @@
     pub fn merge_leaving(&mut self, now: Millis, facts: &[LeavingFact]) -> Vec<LeavingFact> {
         let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
         let new = self.leaving.merge(now, facts, |server| listed.contains(server));
-        new.iter().for_each(|fact| self.refresh(&fact.server.name));
+        new.iter().for_each(|fact| self.refresh_view(&fact.server.name));
         new
     }
 
@@ -57,14 +57,14 @@
     /// Takes in that this start of a server asks now for a rest of so many milliseconds;
     /// returns whether it ends later than what was known.
     pub fn observe_rest(&mut self, now: Millis, server: &ServerStart, rest_ms: Millis) -> bool {
-        let server = self.known_start(server);
+        let server = self.resolve_start(server);
         let is_longer = self.rests.observe(now, &server, rest_ms).is_some();
-        self.refresh(&server.name);
+        self.refresh_view(&server.name);
         is_longer
     }
 
     /// Forgets starts that nobody lists any more, and rests that are over.
-    pub fn forget_closed(&mut self, now: Millis) {
+    pub fn expire_closed(&mut self, now: Millis) {
         let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
         self.leaving.forget_old(now, |server| listed.contains(server));
         self.rests.forget_old(now, |server| listed.contains(server));
@@ -72,7 +72,7 @@
 
     /// Takes in a load report's word of when the server was started. What was said by then
     /// concerns that start when none was known, and another start has said nothing.
-    pub(super) fn learn_start(&mut self, now: Millis, name: &Name, started_ms: Millis) {
+    pub(super) fn record_reported_start(&mut self, now: Millis, name: &Name, started_ms: Millis) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let view = &mut self.servers[index];
         if started_ms == 0 || view.started_ms != 0 || view.reported_start_ms == started_ms {
@@ -87,19 +87,19 @@
             }
             self.rests.observe(now, &start, self.rests.end(&before).saturating_sub(now));
         }
-        self.refresh(name);
+        self.refresh_view(name);
     }
 
     /// The start whose word it is: a choice does not tell when a server of the operators' table
     /// was started.
-    fn known_start(&self, server: &ServerStart) -> ServerStart {
+    fn resolve_start(&self, server: &ServerStart) -> ServerStart {
         let view = self.by_name.get(&server.name).map(|index| &self.servers[*index as usize]);
         let known = view.filter(|view| server.started_ms == 0 && view.started_ms == 0);
         known.map_or_else(|| server.clone(), ServerView::known_start)
     }
 
     /// Puts what is known of a server to its view.
-    fn refresh(&mut self, name: &Name) {
+    fn refresh_view(&mut self, name: &Name) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let view = &mut self.servers[index];
         let start = view.known_start();
--- a/crates/core/src/router/load.rs
+++ b/crates/core/src/router/load.rs
@@ -1,7 +1,7 @@
 //! What a server has to do, in the two ways that it can be too much.
 
 /// A server may have this many times its hall's mean load.
-const BOUND: f64 = 1.25;
+const MAX_LOAD_FACTOR: f64 = 1.25;
 
 /// What a server, or all servers of a hall, have to do.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -16,7 +16,7 @@
     /// The most that one of `members` may have that together have this much;
     /// `slack` comes on top, so that idle halls keep affinity.
     pub(super) fn bound(&self, members: usize, slack: Load) -> Load {
-        let part = BOUND / members.max(1) as f64;
+        let part = MAX_LOAD_FACTOR / members.max(1) as f64;
         Load {
             requests: self.requests * part + slack.requests,
             unread: self.unread * part + slack.unread,
--- a/crates/core/src/router/pool.rs
+++ b/crates/core/src/router/pool.rs
@@ -4,8 +4,8 @@
 
 use crate::id::rendezvous_score;
 use crate::router::load::Load;
-use crate::router::reading::MeanPace;
-use crate::router::{Homes, Wanted};
+use crate::router::prefill::MeanPace;
+use crate::router::{Homes, RoutingRequest};
 use crate::table::{HOURS, Server, Table};
 use crate::{Millis, Name};
 
@@ -84,9 +84,9 @@
 
     /// Score in weighted rendezvous hashing: a hall wins in proportion to its
     /// weight in this hour.
-    pub(super) fn score(&self, wanted: &Wanted) -> f64 {
-        let hash = rendezvous_score(wanted.prefix, self.hall_key);
+    pub(super) fn score(&self, request: &RoutingRequest) -> f64 {
+        let hash = rendezvous_score(request.prefix, self.hall_key);
         let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-        -self.weights[wanted.hour % HOURS] / uniform.ln()
+        -self.weights[request.hour % HOURS] / uniform.ln()
     }
 }
--- a/crates/core/src/router/reading.rs
+++ b/crates/core/src/router/prefill.rs
@@ -26,12 +26,12 @@
 /// A server is one of the slower when its time between events is this many times
 /// the pool's mean: users' servers are equal, or differ by 1.3; streams that run at
 /// once make up for some 0.1.
-const SLOWER: f64 = 1.08;
+const SLOW_SERVER_FACTOR: f64 = 1.08;
 
 /// Unread prompts that a server may have beyond its part, in mean prompts. With 4 in
 /// place of 1.5 a tenth more of the long prompts came late, and 6 to 10 % less of shared
 /// parts was read again (days with faults of two deployments, three seeds).
-const UNREAD_SLACK: f64 = 1.5;
+const UNREAD_SLACK_PROMPTS: f64 = 1.5;
 
 /// How the events of a stream came that has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -69,7 +69,7 @@
 
 /// What the streams and prompts of one pool have shown.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub(super) struct Reading {
+pub(super) struct PrefillStats {
     /// Mean prompt, in tokens.
     mean_prompt: f64,
     /// Longest pause of a stream, in times between two events.
@@ -92,18 +92,18 @@
 
     fn is_slower(&self, view: &ServerView) -> bool {
         let mean_ms = self.sum_ms / f64::from(self.servers.max(1));
-        view.event_ms.is_some_and(|event_ms| event_ms > mean_ms * SLOWER)
+        view.event_ms.is_some_and(|event_ms| event_ms > mean_ms * SLOW_SERVER_FACTOR)
     }
 }
 
-impl Reading {
+impl PrefillStats {
     /// Takes in a prompt that was sent to some server.
-    pub(super) fn sent(&mut self, prompt: Tokens) {
+    pub(super) fn record_prompt(&mut self, prompt: Tokens) {
         self.mean_prompt = mean(self.mean_prompt, prompt as f64);
     }
 
     /// Takes in a stream that has ended at `view`.
-    pub(super) fn streamed(&mut self, view: &ServerView, pace: StreamPace, mean: &MeanPace) {
+    pub(super) fn record_stream(&mut self, view: &ServerView, pace: StreamPace, mean: &MeanPace) {
         // Where no long prompts go there is nothing to be learned of them.
         if mean.is_slower(view) {
             return;
@@ -121,14 +121,19 @@
 
     /// Whether reading a long prompt at this server would make its streams pause
     /// for longer than `goal`, and for longer than at other servers.
-    pub(super) fn disturbs(&self, view: &ServerView, goal: Millis, mean: &MeanPace) -> bool {
+    pub(super) fn exceeds_pause_goal(
+        &self,
+        view: &ServerView,
+        goal: Millis,
+        mean: &MeanPace,
+    ) -> bool {
         let pause = view.event_ms.unwrap_or(0.0) * self.stretch;
         pause > goal as f64 && mean.is_slower(view)
     }
 
     /// Unread tokens that a server may have beyond its part.
     pub(super) fn unread_slack(&self) -> f64 {
-        self.mean_prompt * UNREAD_SLACK
+        self.mean_prompt * UNREAD_SLACK_PROMPTS
     }
 }
 
--- a/crates/core/src/router/status.rs
+++ b/crates/core/src/router/status.rs
@@ -78,7 +78,7 @@
             (Availability::Leaving, "the platform's list", None)
         } else if self.is_leaving(now) {
             (Availability::Leaving, "a load report or a refusal", Some(self.leaving_until))
-        } else if self.rests(now) {
+        } else if self.is_resting(now) {
             (Availability::Resting, "its Retry-After", Some(self.rests_until))
         } else if self.is_at_limit(now) {
             (Availability::AtLimit, "the limit that it names", Some(self.no_permit_until))
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -8,22 +8,22 @@
 use crate::{Millis, Name, Tokens};
 
 /// Failures in a row that eject a server.
-pub(super) const EJECT_AFTER: u32 = 3;
+pub(super) const FAILURES_TO_EJECT: u32 = 3;
 
 /// First ejection; each further one is twice as long.
-pub(super) const EJECT_MS: Millis = 1_000;
+pub(super) const FIRST_EJECTION_MS: Millis = 1_000;
 
 /// Longest ejection.
-pub(super) const EJECT_MAX_MS: Millis = 30_000;
+pub(super) const MAX_EJECTION_MS: Millis = 30_000;
 
 /// At most one in so many servers of a pool is ejected at once.
-pub(super) const MOST_EJECTED: usize = 2;
+pub(super) const POOL_PER_EJECTED: usize = 2;
 
 /// After an ejection, a limit or a rest a server takes its full share again only after this long.
-pub(super) const SLOW_RETURN_MS: Millis = 5_000;
+pub(super) const SLOW_START_MS: Millis = 5_000;
 
 /// A server's own word that it leaves is believed this long.
-pub(super) const LEAVING_WORD_MS: Millis = 10_000;
+pub(super) const LEAVING_REPORT_TTL_MS: Millis = 10_000;
 
 /// A load report, as servers tell it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -134,7 +134,7 @@
     }
 
     /// Requests and unread prompts, as far as this daemon knows.
-    pub(super) fn load_in_all(&self) -> Load {
+    pub(super) fn total_load(&self) -> Load {
         Load { requests: self.load(), unread: (self.unread + self.unread_elsewhere) as f64 }
     }
 
@@ -144,12 +144,12 @@
     }
 
     pub(super) fn is_usable(&self, now: Millis) -> bool {
-        let is_held_back = self.is_cold(now) || self.is_at_limit(now) || self.rests(now);
-        self.could_serve(now) && !is_held_back
+        let is_held_back = self.is_cold(now) || self.is_at_limit(now) || self.is_resting(now);
+        self.is_eligible(now) && !is_held_back
     }
 
     /// Whether it has asked this daemon for rest.
-    pub(super) fn rests(&self, now: Millis) -> bool {
+    pub(super) fn is_resting(&self, now: Millis) -> bool {
         now < self.rests_until
     }
 
@@ -164,17 +164,17 @@
     }
 
     /// Whether it would be usable if it were neither cold nor at its limit, and did not rest.
-    pub(super) fn could_serve(&self, now: Millis) -> bool {
+    pub(super) fn is_eligible(&self, now: Millis) -> bool {
         !self.is_leaving(now) && now >= self.ejected_until && self.in_flight < self.limit
     }
 
     /// Whether a slow return passes this request on.
-    pub(super) fn holds_back(&self, now: Millis, seed: u64) -> bool {
+    pub(super) fn is_shed_by_slow_start(&self, now: Millis, seed: u64) -> bool {
         let ejected_until = (self.ejections > 0).then_some(self.ejected_until);
         let rested_until = (self.rests_until > 0).then_some(self.rests_until);
         let returned_at = ejected_until.max(self.lifted_at).max(rested_until);
         let Some(returned_at) = returned_at else { return false };
         let since = now.saturating_sub(returned_at);
-        since < SLOW_RETURN_MS && seed % SLOW_RETURN_MS >= since
+        since < SLOW_START_MS && seed % SLOW_START_MS >= since
     }
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -2,28 +2,28 @@
 
 /// What is to become of one arriving piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SequenceCheck {
     /// It is the next piece: deliver it.
     Deliver,
     /// It was delivered before: drop it.
-    Repeat,
+    Duplicate,
     /// Pieces before it are missing: the stream must be resumed.
     Gap,
     /// It belongs to another request: drop it and log it.
-    Foreign,
+    WrongRun,
 }
 
 /// Where a stream stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sequence {
+pub struct EventSequence {
     run: String,
     next: u64,
 }
 
-impl Sequence {
+impl EventSequence {
     /// The start of the stream of this run.
     pub fn new(run: String) -> Self {
-        Sequence { run, next: 0 }
+        EventSequence { run, next: 0 }
     }
 
     /// Offset of the piece that comes next.
@@ -32,17 +32,17 @@
     }
 
     /// Judges the piece that says it has this run and this offset.
-    pub fn accept(&mut self, run: &str, offset: u64) -> Verdict {
+    pub fn accept(&mut self, run: &str, offset: u64) -> SequenceCheck {
         if run != self.run {
-            return Verdict::Foreign;
+            return SequenceCheck::WrongRun;
         }
         if offset < self.next {
-            return Verdict::Repeat;
+            return SequenceCheck::Duplicate;
         }
         if offset > self.next {
-            return Verdict::Gap;
+            return SequenceCheck::Gap;
         }
         self.next += 1;
-        Verdict::Deliver
+        SequenceCheck::Deliver
     }
 }
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -109,27 +109,33 @@
     let (mut router, name) = (engine(), Name::from("a"));
     // The first answer may come before the first load report.
     router.observe_leaving(1_000, &start("a", 0));
-    router.report(2_000, &name, report(70));
+    router.record_load_report(2_000, &name, report(70));
     assert_eq!(router.check_open(2_000, &start("a", 70)), Err(Closed::Leaving));
     assert_eq!(router.check_open(2_000, &start("a", 0)), Err(Closed::Leaving));
-    router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a report that says otherwise undoes nothing");
-    router.report(4_000, &name, report(90));
+    router.record_load_report(3_000, &name, report(70));
+    assert!(
+        !router.is_current_and_staying(3_000, &name, 0),
+        "a report that says otherwise undoes nothing"
+    );
+    router.record_load_report(4_000, &name, report(90));
     assert_eq!(router.check_open(4_000, &start("a", 0)), Ok(()));
-    assert!(router.is_staying(4_000, &name, 0));
+    assert!(router.is_current_and_staying(4_000, &name, 0));
 }
 
 #[test]
 fn a_table_that_is_adopted_again_keeps_what_was_said() {
     let (mut router, name) = (engine(), Name::from("a"));
-    router.report(1_000, &name, report(70));
+    router.record_load_report(1_000, &name, report(70));
     router.observe_leaving(2_000, &start("a", 70));
     let rows = json!({"servers": []});
     let empty: Table = serde_json::from_value(rows).expect("a table");
     router.adopt(&empty);
     router.adopt(&Table { servers: table_of(&engine()), ..empty });
-    router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a list that lags brings no start back");
+    router.record_load_report(3_000, &name, report(70));
+    assert!(
+        !router.is_current_and_staying(3_000, &name, 0),
+        "a list that lags brings no start back"
+    );
 }
 
 fn table_of(router: &Router) -> Vec<Server> {
--- a/crates/core/tests/link.rs
+++ b/crates/core/tests/link.rs
@@ -8,41 +8,41 @@
 }
 
 fn traffic(bytes: u64) -> Traffic {
-    Traffic { bytes, pieces: 0 }
+    Traffic { bytes, chunks: 0 }
 }
 
 #[test]
 fn a_full_link_refuses_the_lowest_rank_first() {
     let mut link = link();
-    assert!(link.promise(traffic(800 * 700), 2, 0));
-    assert!(!link.promise(traffic(1), 2, 0));
-    assert!(link.promise(traffic(800 * 400), 1, 0));
-    assert!(!link.promise(traffic(1), 1, 0));
-    assert!(link.promise(traffic(800 * 500), 0, 0));
-    assert!(!link.promise(traffic(1), 0, 0));
+    assert!(link.reserve(traffic(800 * 700), 2, 0));
+    assert!(!link.reserve(traffic(1), 2, 0));
+    assert!(link.reserve(traffic(800 * 400), 1, 0));
+    assert!(!link.reserve(traffic(1), 1, 0));
+    assert!(link.reserve(traffic(800 * 500), 0, 0));
+    assert!(!link.reserve(traffic(1), 0, 0));
 }
 
 #[test]
 fn what_was_promised_is_sent_as_time_goes_by() {
     let mut link = link();
-    assert!(link.promise(traffic(800 * 2_000), 0, 0));
-    assert!(!link.promise(traffic(1), 0, 400));
-    assert!(link.promise(traffic(1), 0, 600));
+    assert!(link.reserve(traffic(800 * 2_000), 0, 0));
+    assert!(!link.reserve(traffic(1), 0, 400));
+    assert!(link.reserve(traffic(1), 0, 600));
 }
 
 #[test]
 fn a_request_that_sends_less_than_expected_gives_its_promise_back() {
     let mut link = link();
     let expected = traffic(800 * 2_000);
-    assert!(link.promise(expected, 0, 0));
-    link.ended(expected, traffic(800 * 100), 100);
-    assert!(link.promise(traffic(1), 2, 100));
+    assert!(link.reserve(expected, 0, 0));
+    link.settle(expected, traffic(800 * 100), 100);
+    assert!(link.reserve(traffic(1), 2, 100));
 }
 
 #[test]
 fn pieces_cost_more_than_their_bytes() {
     let mut link = link();
-    let many = Traffic { bytes: 0, pieces: 20_000 };
-    assert!(link.promise(many, 0, 0));
-    assert!(link.promised_ms(0) > 1_000.0);
+    let many = Traffic { bytes: 0, chunks: 20_000 };
+    assert!(link.reserve(many, 0, 0));
+    assert!(link.backlog_ms(0) > 1_000.0);
 }
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -11,7 +11,7 @@
 
 fn repeats(budget: &mut RetryBudget, daemons: usize, now: u64) -> usize {
     let service = Name::from("plain");
-    (0..1_000).take_while(|_| budget.repeat(&service, daemons, now)).count()
+    (0..1_000).take_while(|_| budget.try_retry(&service, daemons, now)).count()
 }
 
 #[test]
@@ -20,7 +20,7 @@
     let mut spent = 0;
     for _ in 0..4 {
         let mut mine = budget(0.2, 50.0);
-        (0..100).for_each(|_| mine.request(&Name::from("plain"), 0));
+        (0..100).for_each(|_| mine.record_request(&Name::from("plain"), 0));
         spent += repeats(&mut mine, 4, 0);
     }
     assert!(spent > 0 && spent as f64 <= allowed, "{spent} of {allowed}");
@@ -38,7 +38,7 @@
 fn services_do_not_share_their_repeats() {
     let mut mine = budget(0.0, 10.0);
     repeats(&mut mine, 1, 0);
-    assert!(mine.repeat(&Name::from("other"), 1, 0));
+    assert!(mine.try_retry(&Name::from("other"), 1, 0));
 }
 
 #[test]
--- a/crates/core/tests/router.rs
+++ b/crates/core/tests/router.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bankcove_core::router::{
-    Homes, LoadReport, NoServer, Router, StreamPace, Unread, UnreadNews, Wanted,
+    Homes, LoadReport, NoServer, Router, RoutingRequest, StreamPace, UnreadReport, UnreadTokens,
 };
 use bankcove_core::table::Table;
 use bankcove_core::{Incarnation, Name};
@@ -29,9 +29,9 @@
     router
 }
 
-fn wanted(prefix: u64, tried: &[Name]) -> Wanted<'_> {
+fn request(prefix: u64, tried: &[Name]) -> RoutingRequest<'_> {
     let prefix = prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Wanted {
+    RoutingRequest {
         pool: "m",
         prefix,
         prompt_tokens: 0,
@@ -43,7 +43,7 @@
 }
 
 fn choose(router: &Router, now: u64, prefix: u64, tried: &[Name]) -> Option<Name> {
-    router.choose(now, &wanted(prefix, tried)).ok().map(|choice| choice.server)
+    router.choose(now, &request(prefix, tried)).ok().map(|choice| choice.server)
 }
 
 fn counts(router: &Router, now: u64) -> HashMap<String, u32> {
@@ -79,12 +79,12 @@
 #[test]
 fn a_server_that_leaves_gets_nothing_whoever_says_so() {
     let mut by_list = router(3, &[1.0]);
-    by_list.listed_leaving(&[Name::from("s1")]);
+    by_list.set_listed_leaving(&[Name::from("s1")]);
     let mut by_word = router(3, &[1.0]);
-    by_word.said_leaving(0, &Name::from("s1"), 0);
+    by_word.record_leaving_refusal(0, &Name::from("s1"), 0);
     let mut by_report = router(3, &[1.0]);
     let report = LoadReport { running: 0, waiting: 0, leaving: true, started_ms: 0 };
-    by_report.report(0, &Name::from("s1"), report);
+    by_report.record_load_report(0, &Name::from("s1"), report);
     let mut drained = table(3, &[1.0]);
     drained.servers[1].state = bankcove_core::table::ServerState::Draining;
     let mut by_row = router(3, &[1.0]);
@@ -101,8 +101,8 @@
     let name = Name::from("s1");
     let before = counts(&router, 0)["s1"];
     for _ in 0..3 {
-        router.sent(&name, 0, 0);
-        router.ended(0, &name, 0, false);
+        router.record_sent(&name, 0, 0);
+        router.record_ended(0, &name, 0, false);
     }
     assert!(!counts(&router, 500).contains_key("s1"));
     let returning = counts(&router, 2_000).get("s1").copied().unwrap_or(0);
@@ -115,7 +115,7 @@
     let mut router = router(3, &[1.0]);
     let first = choose(&router, 0, 7, &[]).expect("a server");
     for _ in 0..20 {
-        router.sent(&first, 0, 0);
+        router.record_sent(&first, 0, 0);
     }
     assert_ne!(choose(&router, 0, 7, &[]), Some(first));
 }
@@ -124,11 +124,15 @@
 fn a_late_report_is_corrected_by_what_was_sent_since() {
     let mut router = router(1, &[1.0]);
     let name = Name::from("s0");
-    router.report(0, &name, LoadReport { running: 5, waiting: 1, leaving: false, started_ms: 0 });
-    router.sent(&name, 0, 0);
-    router.sent(&name, 0, 0);
+    router.record_load_report(
+        0,
+        &name,
+        LoadReport { running: 5, waiting: 1, leaving: false, started_ms: 0 },
+    );
+    router.record_sent(&name, 0, 0);
+    router.record_sent(&name, 0, 0);
     assert!((router.servers()[0].load() - 8.0).abs() < 1e-9);
-    router.ended(0, &name, 0, true);
+    router.record_ended(0, &name, 0, true);
     assert!((router.servers()[0].load() - 7.0).abs() < 1e-9);
 }
 
@@ -149,19 +153,19 @@
     full.servers[0].limit = 1;
     let mut router = Router::default();
     router.adopt(&full);
-    router.sent(&Name::from("s0"), 0, 0);
-    assert_eq!(router.choose(0, &wanted(1, &[])), Err(NoServer::NoneUsable));
-    let unknown = Wanted { pool: "other", ..wanted(1, &[]) };
+    router.record_sent(&Name::from("s0"), 0, 0);
+    assert_eq!(router.choose(0, &request(1, &[])), Err(NoServer::NoneUsable));
+    let unknown = RoutingRequest { pool: "other", ..request(1, &[]) };
     assert_eq!(router.choose(0, &unknown), Err(NoServer::NoneInTable));
 }
 
 #[test]
 fn a_new_table_keeps_what_is_known_of_servers_that_stay() {
     let mut router = router(2, &[1.0]);
-    router.sent(&Name::from("s0"), 0, 0);
+    router.record_sent(&Name::from("s0"), 0, 0);
     router.adopt(&table(3, &[1.0]));
     assert!((router.servers()[0].load() - 1.0).abs() < 1e-9);
-    router.ended(0, &Name::from("s0"), 0, true);
+    router.record_ended(0, &Name::from("s0"), 0, true);
     assert!(router.servers()[0].load().abs() < 1e-9);
 }
 
@@ -199,11 +203,11 @@
         let event_ms = if slow.contains(&n) { 26.0 } else { 20.0 };
         let pace = StreamPace { event_ms, longest_pause_ms: event_ms * 13.0 };
         for _ in 0..40 {
-            router.streamed(&server(n), 0, pace);
+            router.record_stream_pace(&server(n), 0, pace);
             for prompt in [SHORT, SHORT, LONG] {
-                router.sent(&server(n), 0, prompt);
-                router.read(&server(n), 0, prompt);
-                router.ended(0, &server(n), 0, true);
+                router.record_sent(&server(n), 0, prompt);
+                router.record_prompt_read(&server(n), 0, prompt);
+                router.record_ended(0, &server(n), 0, true);
             }
         }
     }
@@ -212,8 +216,8 @@
 fn counts_of(router: &Router, prompt_tokens: u64) -> HashMap<String, u32> {
     let mut counts = HashMap::new();
     for prefix in 0..4_000 {
-        let wanted = Wanted { prompt_tokens, ..wanted(prefix, &[]) };
-        let choice = router.choose(0, &wanted).expect("a server");
+        let request = RoutingRequest { prompt_tokens, ..request(prefix, &[]) };
+        let choice = router.choose(0, &request).expect("a server");
         *counts.entry(choice.server.to_string()).or_default() += 1;
     }
     counts
@@ -244,7 +248,7 @@
     assert!(!counts_of(&router, LONG).contains_key("s1"));
     for n in [0, 3] {
         for _ in 0..20 {
-            router.sent(&server(n), 0, LONG);
+            router.record_sent(&server(n), 0, LONG);
         }
     }
     assert!(counts_of(&router, LONG).contains_key("s1"));
@@ -255,7 +259,7 @@
     let mut router = listed(4);
     show_paces(&mut router, 4, &[1]);
     for n in [0, 2, 3] {
-        router.said_leaving(0, &server(n), 0);
+        router.record_leaving_refusal(0, &server(n), 0);
     }
     assert_eq!(counts_of(&router, LONG)["s1"], 4_000);
 }
@@ -266,9 +270,9 @@
     show_paces(&mut router, 3, &[]);
     let first = choose(&router, 0, 7, &[]).expect("a server");
     // One request only: its prompt alone is more than the server's part.
-    router.sent(&first, 0, MUCH);
+    router.record_sent(&first, 0, MUCH);
     assert_ne!(choose(&router, 0, 7, &[]), Some(first.clone()));
-    router.read(&first, 0, MUCH);
+    router.record_prompt_read(&first, 0, MUCH);
     assert_eq!(choose(&router, 0, 7, &[]), Some(first));
 }
 
@@ -277,11 +281,11 @@
     let mut old = listed(4);
     show_paces(&mut old, 4, &[1]);
     let mut young = listed(4);
-    young.heard_paces(&old.paces(16, 3));
+    young.merge_paces(&old.paces(16, 3));
     // It has seen one stream of its own, and a few prompts.
-    young.streamed(&server(0), 0, StreamPace { event_ms: 20.0, longest_pause_ms: 800.0 });
-    young.sent(&server(0), 0, SHORT);
-    young.ended(0, &server(0), 0, true);
+    young.record_stream_pace(&server(0), 0, StreamPace { event_ms: 20.0, longest_pause_ms: 800.0 });
+    young.record_sent(&server(0), 0, SHORT);
+    young.record_ended(0, &server(0), 0, true);
     assert!(!counts_of(&young, LONG).contains_key("s1"));
 }
 
@@ -295,9 +299,9 @@
     assert_eq!((router.paces(2, 1).len(), told.len()), (2, 5));
 }
 
-fn news(from: u64, number: u64, server: &Name, tokens: u64) -> UnreadNews {
-    let unread = vec![Unread { server: server.clone(), started_ms: 0, tokens }];
-    UnreadNews { from: Incarnation(from), number, unread }
+fn news(from: u64, number: u64, server: &Name, tokens: u64) -> UnreadReport {
+    let unread = vec![UnreadTokens { server: server.clone(), started_ms: 0, tokens }];
+    UnreadReport { from: Incarnation(from), number, unread }
 }
 
 #[test]
@@ -305,10 +309,10 @@
     let mut router = listed(3);
     show_paces(&mut router, 3, &[]);
     let first = choose(&router, 0, 7, &[]).expect("a server");
-    router.told_unread(0, &news(1, 1, &first, MUCH));
+    router.merge_unread_report(0, &news(1, 1, &first, MUCH));
     assert_ne!(choose(&router, 0, 7, &[]), Some(first.clone()));
     // It has been read: the peer's next news name the server no more.
-    router.told_unread(10, &UnreadNews { unread: Vec::new(), ..news(1, 2, &first, 0) });
+    router.merge_unread_report(10, &UnreadReport { unread: Vec::new(), ..news(1, 2, &first, 0) });
     assert_eq!(choose(&router, 10, 7, &[]), Some(first));
 }
 
@@ -317,13 +321,13 @@
     let mut router = listed(3);
     show_paces(&mut router, 3, &[]);
     let first = choose(&router, 0, 7, &[]).expect("a server");
-    router.told_unread(0, &UnreadNews { unread: Vec::new(), ..news(1, 2, &first, 0) });
-    router.told_unread(1, &news(1, 1, &first, MUCH));
+    router.merge_unread_report(0, &UnreadReport { unread: Vec::new(), ..news(1, 2, &first, 0) });
+    router.merge_unread_report(1, &news(1, 1, &first, MUCH));
     assert_eq!(choose(&router, 1, 7, &[]), Some(first.clone()));
     // Its sender has been killed and tells nothing more.
-    router.told_unread(2, &news(9, 1, &first, MUCH));
+    router.merge_unread_report(2, &news(9, 1, &first, MUCH));
     assert_ne!(choose(&router, 2, 7, &[]), Some(first.clone()));
-    router.forget_old_news(5_000);
+    router.expire_unread_reports(5_000);
     assert_eq!(choose(&router, 5_000, 7, &[]), Some(first));
 }
 
@@ -333,12 +337,15 @@
     show_paces(&mut router, 3, &[]);
     let first = choose(&router, 0, 7, &[]).expect("a server");
     for peer in 0..10 {
-        router.told_unread(0, &news(peer, 1, &first, MUCH / 10));
+        router.merge_unread_report(0, &news(peer, 1, &first, MUCH / 10));
     }
     router.adopt(&table(3, &[1.0]));
     assert_ne!(choose(&router, 0, 7, &[]), Some(first.clone()));
     for peer in 0..10 {
-        router.told_unread(1, &UnreadNews { unread: Vec::new(), ..news(peer, 2, &first, 0) });
+        router.merge_unread_report(
+            1,
+            &UnreadReport { unread: Vec::new(), ..news(peer, 2, &first, 0) },
+        );
     }
     assert_eq!(choose(&router, 1, 7, &[]), Some(first));
 }
@@ -347,14 +354,14 @@
 fn a_prompt_that_is_passed_on_names_the_server_that_has_read_its_prefix() {
     let mut router = listed(3);
     show_paces(&mut router, 3, &[]);
-    let first = router.choose(0, &wanted(7, &[])).expect("a server");
+    let first = router.choose(0, &request(7, &[])).expect("a server");
     assert_eq!(first.copy_from, None);
-    router.told_unread(0, &news(1, 1, &first.server, MUCH));
-    let other = router.choose(0, &wanted(7, &[])).expect("a server");
+    router.merge_unread_report(0, &news(1, 1, &first.server, MUCH));
+    let other = router.choose(0, &request(7, &[])).expect("a server");
     assert_eq!(other.copy_from, Some(first.address));
     // Who leaves may be gone before its memory is copied.
-    router.said_leaving(0, &first.server, 0);
-    let other = router.choose(0, &wanted(7, &[])).expect("a server");
+    router.record_leaving_refusal(0, &first.server, 0);
+    let other = router.choose(0, &request(7, &[])).expect("a server");
     assert_eq!(other.copy_from, None);
 }
 
@@ -366,8 +373,8 @@
     for n in 0..4 {
         let name = Name::from(format!("s{n}").as_str());
         for _ in 0..30 {
-            router.sent(&name, 0, 0);
-            router.ended(0, &name, 0, false);
+            router.record_sent(&name, 0, 0);
+            router.record_ended(0, &name, 0, false);
         }
     }
     let left = counts(&router, 1);
@@ -379,8 +386,8 @@
     let mut router = router(1, &[1.0]);
     let name = Name::from("s0");
     for _ in 0..10 {
-        router.sent(&name, 0, 0);
-        router.ended(0, &name, 0, false);
+        router.record_sent(&name, 0, 0);
+        router.record_ended(0, &name, 0, false);
     }
     assert!(choose(&router, 1, 7, &[]).is_some());
 }
@@ -390,16 +397,16 @@
     let (here, there) = (router(12, &[1.0, 1.0]), router(12, &[1.0, 1.0]));
     for prefix in 0..50 {
         let chosen: Vec<Name> = (0..8)
-            .map(|rank| here.choose_apart(0, &wanted(prefix, &[]), rank).expect("one is usable"))
+            .map(|rank| here.choose_ranked(0, &request(prefix, &[]), rank).expect("one is usable"))
             .map(|choice| choice.server)
             .collect();
         let distinct: std::collections::HashSet<&Name> = chosen.iter().collect();
         assert_eq!(distinct.len(), chosen.len(), "{chosen:?}");
         for (rank, server) in chosen.iter().enumerate() {
-            let choice = there.choose_apart(0, &wanted(prefix, &[]), rank);
+            let choice = there.choose_ranked(0, &request(prefix, &[]), rank);
             assert_eq!(choice.map(|choice| choice.server).as_ref(), Ok(server));
         }
     }
     // Where there are fewer servers than ranks, any of them.
-    assert!(router(2, &[1.0]).choose_apart(0, &wanted(1, &[]), 7).is_ok());
+    assert!(router(2, &[1.0]).choose_ranked(0, &request(1, &[]), 7).is_ok());
 }
--- a/crates/core/tests/places.rs
+++ b/crates/core/tests/server_eligibility.rs
@@ -2,7 +2,9 @@
 
 use bankcove_core::Name;
 use bankcove_core::hall_list::{EvacuatedHalls, HallChanges, HallList};
-use bankcove_core::router::{Homes, LoadReport, NoServer, Router, Unread, UnreadNews, Wanted};
+use bankcove_core::router::{
+    Homes, LoadReport, NoServer, Router, RoutingRequest, UnreadReport, UnreadTokens,
+};
 use bankcove_core::server_list::{
     Gone, ListVersion, ListedServer, ServerChanges, ServerList, SharedServer,
 };
@@ -27,10 +29,10 @@
     serde_json::from_value(json!({"halls": halls, "servers": servers})).expect("a table")
 }
 
-fn wanted<'a>(prefix: u64, homes: Homes<'a>, tried: &'a [Name]) -> Wanted<'a> {
+fn request<'a>(prefix: u64, homes: Homes<'a>, tried: &'a [Name]) -> RoutingRequest<'a> {
     let prefix = prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let seed = prefix.rotate_left(17);
-    Wanted { pool: "m", prefix, prompt_tokens: 0, hour: 0, seed, tried, homes }
+    RoutingRequest { pool: "m", prefix, prompt_tokens: 0, hour: 0, seed, tried, homes }
 }
 
 fn hall_of(server: &Name) -> usize {
@@ -77,7 +79,7 @@
             !evacuated[hall] && is_home(&route) && is_home(&workspace)
         };
         let fits = |n: usize| may(n % 3) && !cold[n];
-        match router.choose(50, &wanted(prefix, homes, &[])) {
+        match router.choose(50, &request(prefix, homes, &[])) {
             Ok(choice) => {
                 let number: usize = choice.server.as_str()[1..].parse().expect("a number");
                 prop_assert!(fits(number), "{} was chosen", choice.server);
@@ -219,27 +221,31 @@
     let first = Name::from("s0");
     let mut router = Router::default();
     router.adopt(&with_start(1_000));
-    router.sent(&first, 1_000, 5_000);
-    router.sent(&first, 1_000, 5_000);
-    router.said_leaving(0, &first, 1_000);
-    router.report(0, &first, LoadReport { running: 7, waiting: 2, leaving: true, started_ms: 0 });
+    router.record_sent(&first, 1_000, 5_000);
+    router.record_sent(&first, 1_000, 5_000);
+    router.record_leaving_refusal(0, &first, 1_000);
+    router.record_load_report(
+        0,
+        &first,
+        LoadReport { running: 7, waiting: 2, leaving: true, started_ms: 0 },
+    );
     assert!(router.servers()[0].is_leaving(1));
     router.adopt(&with_start(2_000));
     // The answer to a request of before comes late.
-    router.said_leaving(0, &first, 1_000);
+    router.record_leaving_refusal(0, &first, 1_000);
     assert!(!router.servers()[0].is_leaving(1));
     assert_eq!(load_of_first(&router), 0.0);
-    assert_eq!(router.unread(), []);
+    assert_eq!(router.unread_by_server(), []);
     // What was under way at the earlier start ends without a trace, and so do three
     // failures there, which would eject a server.
-    router.sent(&first, 2_000, 0);
+    router.record_sent(&first, 2_000, 0);
     for _ in 0..3 {
-        router.ended(1, &first, 1_000, false);
+        router.record_ended(1, &first, 1_000, false);
     }
-    router.read(&first, 1_000, 5_000);
+    router.record_prompt_read(&first, 1_000, 5_000);
     assert_eq!(load_of_first(&router), 1.0);
     let only: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
-    let choice = router.choose(1, &wanted(1, Homes::default(), &only)).expect("it is usable");
+    let choice = router.choose(1, &request(1, Homes::default(), &only)).expect("it is usable");
     assert_eq!((choice.server, choice.started_ms), (first, 2_000));
 }
 
@@ -247,14 +253,14 @@
 fn what_peers_tell_of_an_earlier_start_does_not_count() {
     let mut router = Router::default();
     router.adopt(&with_start(2_000));
-    let news = |number, started_ms| UnreadNews {
+    let news = |number, started_ms| UnreadReport {
         from: Incarnation(1),
         number,
-        unread: vec![Unread { server: Name::from("s0"), started_ms, tokens: 90_000 }],
+        unread: vec![UnreadTokens { server: Name::from("s0"), started_ms, tokens: 90_000 }],
     };
-    router.told_unread(0, &news(1, 1_000));
+    router.merge_unread_report(0, &news(1, 1_000));
     let all: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
-    assert!(router.choose(0, &wanted(1, Homes::default(), &all)).is_ok());
-    router.told_unread(0, &news(2, 2_000));
+    assert!(router.choose(0, &request(1, Homes::default(), &all)).is_ok());
+    router.merge_unread_report(0, &news(2, 2_000));
     assert!(hall_of(&Name::from("s0")) == 0);
 }
--- a/crates/core/tests/closed_pools.rs
+++ b/crates/core/tests/unavailable_servers.rs
@@ -2,7 +2,7 @@
 //! outside a request's homes, all at once.
 
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::router::{Homes, NoServer, Router, Wanted};
+use bankcove_core::router::{Homes, NoServer, Router, RoutingRequest};
 use bankcove_core::table::{ServerState, Table};
 use bankcove_core::{Millis, Name};
 use proptest::prelude::*;
@@ -64,11 +64,11 @@
         Held::Nothing | Held::Cold => {}
         Held::Leaving => drop(router.observe_leaving(NOW, &server)),
         Held::Resting(rest_ms) => drop(router.observe_rest(NOW, &server, rest_ms)),
-        Held::AtLimit => router.at_limit(&server, 1.0, NOW + 700),
+        Held::AtLimit => router.block_for_rate_limit(&server, 1.0, NOW + 700),
         Held::Ejected => {
             for _ in 0..3 {
-                router.sent(&server.name, 0, 0);
-                router.ended(NOW, &server.name, 0, false);
+                router.record_sent(&server.name, 0, 0);
+                router.record_ended(NOW, &server.name, 0, false);
             }
         }
     }
@@ -97,7 +97,7 @@
         let tried: Vec<Name> = tried.iter().map(|n| start(*n).name).collect();
         let regions: Vec<Name> =
             homes.iter().map(|n| Name::from(format!("region-{n}").as_str())).collect();
-        let wanted = Wanted {
+        let request = RoutingRequest {
             pool: "m", prefix, prompt_tokens: 0, hour: 0, seed, tried: &tried,
             homes: Homes { route: &regions, workspace: &[] },
         };
@@ -106,7 +106,7 @@
             let is_home = homes.is_empty() || homes.contains(&hall);
             !evacuated[hall] && is_home && !tried.contains(&start(n).name)
         };
-        match router.choose(NOW, &wanted) {
+        match router.choose(NOW, &request) {
             Ok(choice) => {
                 let n: usize = choice.server.as_str()[1..].parse().expect("a number");
                 prop_assert!(may(n));
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -217,7 +217,11 @@
     });
     for (name, report) in futures::future::join_all(reports).await {
         if let Some(report) = report {
-            api.requests.router.lock().report(api.requests.base.clock.now(), &name, report);
+            api.requests.router.lock().record_load_report(
+                api.requests.base.clock.now(),
+                &name,
+                report,
+            );
         }
     }
     next
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -6,7 +6,7 @@
 use bankcove_core::crashes::{Place, Verdict};
 use bankcove_core::lifecycle::{Admitted, Attempt, Dispatched, NotRun};
 use bankcove_core::reqlog::Entry;
-use bankcove_core::router::{Choice, Homes, NoServer, Wanted};
+use bankcove_core::router::{Choice, Homes, NoServer, RoutingRequest};
 use bankcove_core::table::ServerKind;
 use bankcove_core::{Fingerprint, Millis, Name, RequestHash};
 use reqwest::Response;
@@ -83,7 +83,7 @@
     tried: &[Name],
     place: Option<Place>,
 ) -> Result<Choice, NoServer> {
-    let wanted = Wanted {
+    let wanted = RoutingRequest {
         pool: need.pool,
         prefix: place.map_or(need.prefix, |place| place.key),
         prompt_tokens: 0,
@@ -93,7 +93,7 @@
         homes: need.homes,
     };
     let rank = place.map_or(0, |place| place.rank);
-    api.requests.router.lock().choose_apart(api.requests.base.clock.now(), &wanted, rank)
+    api.requests.router.lock().choose_ranked(api.requests.base.clock.now(), &wanted, rank)
 }
 
 /// Why no server has begun to answer.
@@ -169,7 +169,11 @@
                 open.failed();
                 if leaving {
                     let now = api.requests.base.clock.now();
-                    api.requests.router.lock().said_leaving(now, &choice.server, choice.started_ms);
+                    api.requests.router.lock().record_leaving_refusal(
+                        now,
+                        &choice.server,
+                        choice.started_ms,
+                    );
                 }
                 attempt = dispatched.back_out(proof);
                 tried.push(choice.server);
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -118,7 +118,7 @@
     pub fn broke_off(self: &Arc<Self>, choice: &Choice, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
         // One that leaves ends what it still runs: that is no crash.
-        if !self.router.lock().is_staying(now, &choice.server, choice.started_ms) {
+        if !self.router.lock().is_current_and_staying(now, &choice.server, choice.started_ms) {
             return;
         }
         let server = ServerStart { name: choice.server.clone(), started_ms: choice.started_ms };
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -46,7 +46,7 @@
             Reach::Silent => {}
         }
         // Gone from the list, or another start has its name.
-        if !crashes.router.lock().knows_start(&server.name, server.started_ms) {
+        if !crashes.router.lock().is_current_start(&server.name, server.started_ms) {
             return true;
         }
         if crashes.fleet.base.clock.now() >= doubted_until
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -42,7 +42,7 @@
         call.pass_crashes().await?;
         let charge = charge(&call).await?;
         let now = call.entry.requests.base.clock.now();
-        call.entry.retries.lock().request(&call.plan.service, now);
+        call.entry.retries.lock().record_request(&call.plan.service, now);
         Ok(Admitted { call, charge })
     }
 }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -106,7 +106,11 @@
         if unrun == Unrun::OtherInstance {
             // That start of the server is gone, whatever the lagging list says.
             let now = entry.requests.base.clock.now();
-            entry.requests.router.lock().said_leaving(now, &choice.server, choice.started_ms);
+            entry.requests.router.lock().record_leaving_refusal(
+                now,
+                &choice.server,
+                choice.started_ms,
+            );
         }
         log_try(call, &choice, unrun_text(unrun));
         return Tried::Unrun;
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::crashes::Verdict;
-use bankcove_core::router::{Choice, Homes, NoServer, Wanted};
+use bankcove_core::router::{Choice, Homes, NoServer, RoutingRequest};
 use bankcove_core::{Fingerprint, Millis, Name, Tokens};
 use bankcove_ports::wire::{Dispatch, Incoming, Prompt};
 use bytes::Bytes;
@@ -148,7 +148,7 @@
         // Of a fleet that is not known yet no part of what all may repeat is this one's.
         let daemons = requests.fleet.size().unwrap_or(usize::MAX);
         let now = requests.base.clock.now();
-        self.entry.retries.lock().repeat(&self.plan.service, daemons, now)
+        self.entry.retries.lock().try_retry(&self.plan.service, daemons, now)
     }
 
     /// Chooses a server among those that were not tried and takes a permit for it. One that
@@ -199,7 +199,7 @@
         let requests = &self.entry.requests;
         let why = requests.hints.in_turn(&self.plan.service, why);
         let servers =
-            requests.router.lock().servers_held_back(requests.base.clock.now(), &self.plan.service);
+            requests.router.lock().throttled_servers(requests.base.clock.now(), &self.plan.service);
         slog::info!(self.log, "all servers at their limits or resting";
             "service" => %self.plan.service, "why" => ?why, "servers" => servers.join(", "));
         why
@@ -212,7 +212,7 @@
     fn choose(&self) -> Result<Choice, NoServer> {
         let seed = rand::random();
         let place = self.entry.requests.crashes.place(|| self.fingerprint());
-        let wanted = Wanted {
+        let wanted = RoutingRequest {
             pool: self.plan.service.as_str(),
             prefix: place.map_or_else(|| self.prefix(seed), |place| place.key),
             prompt_tokens: self.prompt_tokens(),
@@ -223,7 +223,7 @@
         };
         let requests = &self.entry.requests;
         let rank = place.map_or(0, |place| place.rank);
-        requests.router.lock().choose_apart(requests.base.clock.now(), &wanted, rank)
+        requests.router.lock().choose_ranked(requests.base.clock.now(), &wanted, rank)
     }
 
     /// What decides which server comes first.
--- a/crates/daemon/src/entry/link_use.rs
+++ b/crates/daemon/src/entry/link_use.rs
@@ -41,7 +41,7 @@
         let rank = plan.rank();
         let now = entry.requests.base.clock.now();
         let mut link = entry.link.lock();
-        let is_promised = link.as_mut().is_none_or(|link| link.promise(expected, rank, now));
+        let is_promised = link.as_mut().is_none_or(|link| link.reserve(expected, rank, now));
         drop(link);
         let entry = Arc::clone(entry);
         is_promised.then(|| LinkUse { entry, expected, sent: Traffic::default() })
@@ -62,7 +62,7 @@
     fn drop(&mut self) {
         let now = self.entry.requests.base.clock.now();
         if let Some(link) = self.entry.link.lock().as_mut() {
-            link.ended(self.expected, self.sent, now);
+            link.settle(self.expected, self.sent, now);
         }
     }
 }
@@ -74,5 +74,5 @@
     });
     let answer = events.map_or(ANSWER_BYTES, |events| events * EVENT_BYTES);
     let bytes = body as u64 + HEAD_BYTES + answer;
-    Traffic { bytes, pieces: 2 + events.unwrap_or(1) }
+    Traffic { bytes, chunks: 2 + events.unwrap_or(1) }
 }
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -177,7 +177,11 @@
     fn tell_pace(&self) {
         let requests = &self.call.entry.requests;
         if let Some(pace) = self.pace.of_server() {
-            requests.router.lock().streamed(&self.choice.server, self.choice.started_ms, pace);
+            requests.router.lock().record_stream_pace(
+                &self.choice.server,
+                self.choice.started_ms,
+                pace,
+            );
         }
         let metrics = &requests.base.metrics;
         let (first_ms, pause_ms) = (self.pace.first_ms(), self.pace.longest_pause_ms());
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -153,7 +153,7 @@
         self.fleet_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
-            self.change_closed(|router| router.forget_closed(now));
+            self.change_closed(|router| router.expire_closed(now));
         }
         if !self.has_limits.load(Ordering::Relaxed) {
             return;
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -133,7 +133,7 @@
         let now = self.fleet.base.clock.now();
         let (before, after) =
             (before.map(|rate| rate.per_second()), fact.limit.map(|rate| rate.per_second()));
-        self.router.lock().limited(now, &fact.server, after);
+        self.router.lock().set_rate_limit(now, &fact.server, after);
         let what = match (before, after) {
             (None, _) => "limit heard",
             (Some(_), Some(_)) => "limit changed",
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -134,7 +134,7 @@
             return Ok(self.unlimited(choice));
         }
         if let Some(until) = self.take_issued(now, &server, answer.issued.permits) {
-            self.router.lock().at_limit(&server, limit.per_second(), 0);
+            self.router.lock().block_for_rate_limit(&server, limit.per_second(), 0);
             return Ok(self.leased(choice, until));
         }
         let at_limit = self.pass_over(&server, limit, answer.issued.retry_ms);
@@ -156,7 +156,7 @@
         let is_scarce = self.leases.lock().is_scarce(now, &fact.server);
         if is_scarce {
             let until = now + ASK_TIMEOUT.as_millis() as Millis;
-            self.router.lock().at_limit(&fact.server, limit.per_second(), until);
+            self.router.lock().block_for_rate_limit(&fact.server, limit.per_second(), until);
         }
         let permits = self.leases.lock().wanted(now, &fact.server);
         let wish = Wish { from: self.fleet.base.incarnation, permits, urgency };
@@ -179,7 +179,7 @@
         let now = self.fleet.base.clock.now();
         self.leases.lock().denied(now, server);
         let (first_ms, per_second) = (retry_ms.max(1), limit.per_second());
-        self.router.lock().at_limit(server, per_second, now + first_ms);
+        self.router.lock().block_for_rate_limit(server, per_second, now + first_ms);
         self.fleet.base.metrics.count("limit.passed_over");
         AtLimit { first_ms, per_second }
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -152,7 +152,7 @@
     membership.crashes.heard_digest(&heartbeat.address, heartbeat.crashes_digest);
     membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
     membership.fleet.members.lock().heard(membership.fleet.base.clock.now(), heartbeat);
-    membership.view.router.lock().heard_paces(&heartbeat.paces);
+    membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
 
 /// Whether this daemon's table and list are no older than the sender's.
@@ -186,7 +186,7 @@
 pub async fn send_heartbeats(membership: Arc<Membership>) {
     let interval = Duration::from_millis(membership.fleet.base.cfg.limits.heartbeat_ms);
     loop {
-        membership.view.router.lock().forget_old_news(membership.fleet.base.clock.now());
+        membership.view.router.lock().expire_unread_reports(membership.fleet.base.clock.now());
         membership.crashes.forget_old();
         membership.hints.forget_old();
         beat(&membership).await;
--- a/crates/daemon/src/membership/unread_news.rs
+++ b/crates/daemon/src/membership/unread_news.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bankcove_core::Tokens;
-use bankcove_core::router::UnreadNews;
+use bankcove_core::router::UnreadReport;
 
 use crate::membership::Membership;
 use crate::peer::PeerServiceClient;
@@ -36,10 +36,10 @@
 }
 
 fn tell_all(membership: &Arc<Membership>) {
-    let news = UnreadNews {
+    let news = UnreadReport {
         from: membership.fleet.base.incarnation,
         number: membership.news_told.fetch_add(1, Ordering::Relaxed),
-        unread: membership.view.router.lock().unread(),
+        unread: membership.view.router.lock().unread_by_server(),
     };
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.gather_timeout_ms);
     let peers: Vec<String> =
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -8,7 +8,7 @@
 use bankcove_core::members::{Heartbeat, Host};
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
 use bankcove_core::reqlog::{Entry, Outcome};
-use bankcove_core::router::UnreadNews;
+use bankcove_core::router::UnreadReport;
 use bankcove_core::server_list::{ListNews, ListVersion};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 use serde::{Deserialize, Serialize};
@@ -101,7 +101,7 @@
     /// Tells of the sender and asks the same of the receiver.
     async fn heartbeat(from: Heartbeat) -> Heartbeat;
     /// Tells what the sender has sent to servers that is still to be read there.
-    async fn told_unread(news: UnreadNews);
+    async fn told_unread(news: UnreadReport);
     /// The table in force, when its revision is above this one.
     async fn table_above(revision: u64) -> Option<PackedTable>;
     /// What the receiver knows of the list of backend servers beyond this
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -11,7 +11,7 @@
 use bankcove_core::members::Heartbeat;
 use bankcove_core::owner::Request;
 use bankcove_core::reqlog::{Entry, Outcome};
-use bankcove_core::router::UnreadNews;
+use bankcove_core::router::UnreadReport;
 use bankcove_core::server_list::{ListNews, ListVersion};
 use bankcove_core::{Incarnation, Name, Tokens};
 use futures::StreamExt;
@@ -46,9 +46,9 @@
         self.daemon.membership.heartbeat()
     }
 
-    async fn told_unread(self, _: Context, news: UnreadNews) {
+    async fn told_unread(self, _: Context, news: UnreadReport) {
         let now = self.daemon.clock.now();
-        self.daemon.router.lock().told_unread(now, &news);
+        self.daemon.router.lock().merge_unread_report(now, &news);
     }
 
     async fn table_above(self, _: Context, revision: u64) -> Option<PackedTable> {
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -24,7 +24,7 @@
     /// Counts a request with a prompt of this length (0 without one) as open at
     /// the server of this choice.
     pub fn new(requests: &Arc<Requests>, choice: &Choice, prompt: Tokens) -> Self {
-        requests.router.lock().sent(&choice.server, choice.started_ms, prompt);
+        requests.router.lock().record_sent(&choice.server, choice.started_ms, prompt);
         if prompt >= MIN_TOLD_TOKENS {
             requests.unread_changed.notify_one();
         }
@@ -42,7 +42,7 @@
     pub fn begun(&mut self) {
         let prompt = std::mem::take(&mut self.unread);
         if prompt > 0 {
-            self.requests.router.lock().read(&self.server, self.started_ms, prompt);
+            self.requests.router.lock().record_prompt_read(&self.server, self.started_ms, prompt);
         }
         if prompt >= MIN_TOLD_TOKENS {
             self.requests.unread_changed.notify_one();
@@ -59,6 +59,6 @@
     fn drop(&mut self) {
         self.begun();
         let now = self.requests.base.clock.now();
-        self.requests.router.lock().ended(now, &self.server, self.started_ms, self.well);
+        self.requests.router.lock().record_ended(now, &self.server, self.started_ms, self.well);
     }
 }
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -161,7 +161,7 @@
         .map(|host| host.name.clone())
         .collect();
     view.fleet.members.lock().host_list(hosts);
-    view.router.lock().listed_leaving(&leaving);
+    view.router.lock().set_listed_leaving(&leaving);
     view.hosts.store(Arc::new(list));
 }
 
