--- a/crates/core/src/outage.rs
+++ b/crates/core/src/outage.rs
@@ -1,46 +1,47 @@
-//! When callers are told to come back while the store is away.
+//! Retry delays that callers are given while the store is unreachable.
 //!
-//! Load pattern: the store is away from all daemons, what owners keep of a budget is used
-//! up, and each caller comes back once. Nobody knows how long it lasts: of outages that
-//! have lasted for some time, half are over in as long again, two of three in twice as
-//! long. A caller that comes back too early has used up its retry.
+//! Load pattern: no daemon can reach the store, the tokens that owners hold of a budget are
+//! used up, and each caller retries once. The length of an outage is unknown in advance: of
+//! the outages that have lasted for some time, half end within the same time again and two
+//! of three within twice that time. A caller that retries too early has used up its retry.
 
 use crate::Millis;
 
-/// Word of the store is as old as this though it is there, in milliseconds: readers hear
-/// of it each 1.5 s, heartbeats take another 0.5 to 1 s.
+/// Age that the last contact with the store may have while the store is reachable, in
+/// milliseconds: readers contact it every 1.5 s, and heartbeats take another 0.5 to 1 s to
+/// spread this.
 const USUAL_STORE_AGE_MS: Millis = 2_500;
 
-/// When to come back while the store seems to be there, in milliseconds: another daemon,
-/// which the next try comes to, reaches an owner that this one did not.
+/// Retry delay while the store seems reachable, in milliseconds: the retry goes to another
+/// daemon, which reaches an owner that this one did not.
 const OTHER_DAEMON_RETRY_MS: Millis = 300;
 
-/// Times the age of an outage after which two of three are over.
+/// Multiple of an outage's age within which two of three outages end.
 const OUTAGE_AGE_FACTOR: f64 = 2.0;
 
-/// Callers that are refused together come back within this part of the time to each
-/// other, so that what has come free by then is not asked for at once.
+/// Range of the random jitter as a fraction of the delay: callers that are refused together
+/// do not all request the tokens that have become available at the same time.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// Longest time to come back, in milliseconds: callers with a deadline of 15 s wait for a
-/// third of it at most.
+/// Longest retry delay before jitter, in milliseconds. Callers with a deadline of 15 s wait for
+/// a third of it at most.
 const MAX_RETRY_MS: f64 = 10_000.0;
 
-/// Shortest and longest time to come back to a daemon that has started and knows no table
-/// yet, in milliseconds: where others have it, it is handed over in some 100 ms.
+/// Shortest and longest retry delay, before jitter, of a daemon that has started and has no
+/// table yet, in milliseconds: when peers have the table, it is received in about 100 ms.
 const START_RETRY_RANGE_MS: (f64, f64) = (100.0, 3_000.0);
 
-/// When to come back to a daemon that started `age_ms` ago and knows no table yet, in
-/// milliseconds. Load pattern: all daemons start at once while the store is away, each
-/// caller comes back once, and 100 ms later nothing has changed.
+/// Returns the retry delay, in milliseconds, of a daemon that started `age_ms` ago and has no
+/// table yet. `jitter` is random, from 0 to 1. Load pattern: all daemons start at once while the
+/// store is unreachable, each caller retries once, and after 100 ms nothing has changed.
 pub fn retry_after_start(age_ms: Millis, jitter: f64) -> Millis {
     let mean =
         (age_ms as f64 * OUTAGE_AGE_FACTOR).clamp(START_RETRY_RANGE_MS.0, START_RETRY_RANGE_MS.1);
     (mean * (1.0 + JITTER_FRACTION * (jitter - 0.5))) as Millis
 }
 
-/// When to come back after tokens were out of reach, in milliseconds; the store was heard
-/// `store_age_ms` ago. `jitter` is drawn from 0 to 1.
+/// Returns the retry delay, in milliseconds, after tokens could not be obtained. The last contact
+/// with the store was `store_age_ms` ago; `jitter` is random, from 0 to 1.
 pub fn retry_after_outage(store_age_ms: Option<Millis>, jitter: f64) -> Millis {
     let Some(age_ms) = store_age_ms.filter(|age| *age > USUAL_STORE_AGE_MS) else {
         return OTHER_DAEMON_RETRY_MS;
--- a/crates/core/src/retry_budget.rs
+++ b/crates/core/src/retry_budget.rs
@@ -1,25 +1,25 @@
-//! The part of the fleet's retries that one daemon may spend.
+//! One daemon's part of the fleet's retry budget.
 //!
-//! A service may get, in any window, so many retries: a share of its requests
-//! and some more. Each daemon spends the share on its own requests, and an
-//! equal part of the rest, so that no two have to agree.
+//! In any window a service may get a limited number of retries: a ratio of its requests
+//! plus a constant. Each daemon applies the ratio to its own requests and uses an equal
+//! part of the constant, so daemons need not coordinate.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::{Millis, Name};
 
-/// Part of the allowance that is spent: windows of the daemons and of whoever
-/// counts do not begin together, and daemons may join or leave meanwhile.
+/// Fraction of the allowance that is used: the windows of the daemons and of an outside
+/// observer do not begin together, and daemons may join or leave during a window.
 const USABLE_FRACTION: f64 = 0.6;
 
-/// What the fleet may spend on retries.
+/// Retries that the fleet may send to each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request of the same service, 0 to 1.
+    /// Retries for each request of the same service, 0 to 1.
     pub ratio: f64,
-    /// Repeats beyond that in a window, for the fleet as a whole.
+    /// Further retries in a window, for the whole fleet.
     pub extra: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: Millis,
 }
 
@@ -29,7 +29,7 @@
     retries: VecDeque<Millis>,
 }
 
-/// Repeats of one daemon, by service.
+/// Retry budget of one daemon, by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -37,17 +37,17 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates an unused budget.
     pub fn new(allowance: Allowance) -> Self {
         RetryBudget { allowance, services: HashMap::new() }
     }
 
-    /// Puts another allowance in force; what is counted stays.
+    /// Replaces the allowance; requests and retries counted so far are kept.
     pub fn set_allowance(&mut self, allowance: Allowance) {
         self.allowance = allowance;
     }
 
-    /// Takes in a request for `service`.
+    /// Records a request for `service`.
     pub fn record_request(&mut self, service: &Name, now: Millis) {
         let window_ms = self.allowance.window_ms;
         let counts = self.counts(service);
@@ -55,15 +55,15 @@
         expire(&mut counts.requests, now, window_ms);
     }
 
-    /// Whether one more repeat may go to `service`; it is counted then.
-    /// `daemons` share the allowance.
+    /// Returns whether one more retry may be sent to `service`, and counts it if so. `daemons` is
+    /// the number of daemons that share the allowance.
     pub fn try_retry(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
         let Allowance { ratio, extra, window_ms } = self.allowance;
         let counts = self.counts(service);
         expire(&mut counts.requests, now, window_ms);
         expire(&mut counts.retries, now, window_ms);
-        let allowed_retries = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
-        let allowed = (counts.retries.len() as f64) < allowed_retries * USABLE_FRACTION;
+        let allowance_here = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
+        let allowed = (counts.retries.len() as f64) < allowance_here * USABLE_FRACTION;
         if allowed {
             counts.retries.push_back(now);
         }
@@ -75,6 +75,7 @@
     }
 }
 
+/// Removes the times that are outside the window ending at `now`.
 fn expire(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
     while times.front().is_some_and(|at| at + window_ms <= now) {
         times.pop_front();
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -1,11 +1,12 @@
-//! Which backend server serves a request.
+//! Selection of the backend server for a request.
 //!
-//! Halls are taken by weighted rendezvous over the prompt's prefix, so equal
-//! prefixes go to the same hall and halls share work by their weights. Within
-//! a hall a ring of hashed points gives each prefix a first server; the load
-//! bound passes work on when that server has more than its part, and long
-//! prompts pass by servers whose streams would pause for too long. A decision
-//! costs a binary search and a few looks, whatever the number of servers.
+//! Halls are ranked by weighted rendezvous hashing over the prompt's prefix, so
+//! equal prefixes go to the same hall and halls share load in proportion to their
+//! weights. Within a hall, a consistent-hash ring assigns each prefix a first
+//! server. Requests move on to the next server on the ring when that one exceeds
+//! its load bound, and long prompts skip servers whose streams would pause for too
+//! long. A decision costs a binary search and a few probes, whatever the number of
+//! servers.
 
 mod choose;
 mod closed_servers;
@@ -30,36 +31,36 @@
 use crate::router::pool::{HallPool, Pool};
 use crate::router::prefill::{PrefillStats, mean};
 use crate::router::view::{
-    FAILURES_TO_EJECT, FIRST_EJECTION_MS, LEAVING_REPORT_TTL_MS, MAX_EJECTION_MS, POOL_PER_EJECTED,
-    SLOW_START_MS,
+    FAILURES_TO_EJECT, FIRST_EJECTION_MS, LEAVING_REPORT_TTL_MS, MAX_EJECTION_MS,
+    MIN_SERVERS_PER_EJECTION, SLOW_START_MS,
 };
 use crate::table::{RouteTarget, Server, ServerKind, Table};
 use crate::{Millis, Name, Tokens};
 
-/// The routing state of one daemon.
+/// Routing state of one daemon.
 #[derive(Debug, Clone, Default)]
 pub struct Router {
     servers: Vec<ServerView>,
     by_name: HashMap<Name, u32>,
     pools: HashMap<Name, Pool>,
     pools_of_server: Vec<Vec<(Name, usize)>>,
-    /// What streams have shown, by pool; it outlives the table.
+    /// Prompt and stream statistics by pool; kept when the table changes.
     prefill: HashMap<Name, PrefillStats>,
-    /// What peers have under way.
+    /// Tokens that peers have sent and that servers have not read yet.
     peer_unread: PeerUnread,
-    /// Starts of servers that leave, also of those that are not in the table now.
+    /// Server instances that are leaving, including those not in the current table.
     leaving: LeavingStarts,
-    /// Starts of servers that rest.
+    /// Server instances that have asked this daemon for rest.
     rests: Rests,
 }
 
 impl Router {
-    /// Takes in a table; what is known of servers that stay is kept.
+    /// Replaces the table. The state of servers that are in both tables is kept.
     pub fn adopt(&mut self, table: &Table) {
         let mut servers: Vec<ServerView> = table.servers.iter().map(ServerView::new).collect();
         for view in &mut servers {
             let old = self.by_name.get(&view.name).map(|index| &self.servers[*index as usize]);
-            // Another start knows and holds nothing of the one before.
+            // A restarted server shares no state with its previous instance.
             let is_same = |old: &&ServerView| {
                 old.address == view.address && old.started_ms == view.started_ms
             };
@@ -83,14 +84,15 @@
         self.rebuild_pools(table);
     }
 
-    /// Every server's view.
+    /// Returns the views of all servers.
     pub fn servers(&self) -> &[ServerView] {
         &self.servers
     }
 
-    /// Up to `most` model servers to ask for a load report: those with open
-    /// requests first, the others from place `turn` on; and the next turn.
-    pub fn servers_to_ask(&self, most: usize, turn: usize) -> (Vec<Choice>, usize) {
+    /// Returns up to `max` model servers to ask for a load report, and the `offset` to pass
+    /// next time. Servers with open requests of this daemon come first, then the others from
+    /// index `offset` on.
+    pub fn servers_to_ask(&self, max: usize, offset: usize) -> (Vec<Choice>, usize) {
         let count = self.servers.len();
         let choice = |view: &ServerView| Choice {
             server: view.name.clone(),
@@ -99,15 +101,15 @@
             copy_from: None,
         };
         let busy = self.servers.iter().filter(|view| view.reports_load && view.in_flight > 0);
-        // Half of the round goes to the others, so that no report is for ever old.
-        let mut asked: Vec<Choice> = busy.take(most.div_ceil(2)).map(choice).collect();
-        let mut next = turn;
+        // Half of the round goes to the others, so that no report stays old for ever.
+        let mut asked: Vec<Choice> = busy.take(max.div_ceil(2)).map(choice).collect();
+        let mut next = offset;
         for step in 0..count {
-            if asked.len() >= most {
+            if asked.len() >= max {
                 break;
             }
-            let view = &self.servers[(turn + step) % count];
-            next = (turn + step + 1) % count;
+            let view = &self.servers[(offset + step) % count];
+            next = (offset + step + 1) % count;
             if view.reports_load && !asked.iter().any(|known| known.server == view.name) {
                 asked.push(choice(view));
             }
@@ -115,14 +117,14 @@
         (asked, next)
     }
 
-    /// Takes in which servers the platform lists as leaving.
+    /// Sets which servers the platform lists as leaving; all others are not listed.
     pub fn set_listed_leaving(&mut self, leaving: &[Name]) {
         for view in &mut self.servers {
             view.listed_leaving = leaving.contains(&view.name);
         }
     }
 
-    /// Takes in a server's load report.
+    /// Records a load report of a server.
     pub fn record_load_report(&mut self, now: Millis, name: &Name, report: LoadReport) {
         self.record_reported_start(now, name, report.started_ms);
         self.change_load(name, |view| {
@@ -132,18 +134,18 @@
         });
     }
 
-    /// Whether this start of a server is the one that is known.
+    /// Returns whether this instance of a server is the one in the table.
     pub fn is_current_start(&self, name: &Name, start: Millis) -> bool {
         self.index_of_start(name, start).is_some()
     }
 
-    /// Whether this start of a server is known and does not leave.
+    /// Returns whether this instance of a server is the one in the table and not leaving.
     pub fn is_current_and_staying(&self, now: Millis, name: &Name, start: Millis) -> bool {
         let index = self.index_of_start(name, start);
         index.is_some_and(|index| !self.servers[index].is_leaving(now))
     }
 
-    /// Takes in that this start of a server refused work because it is leaving.
+    /// Records that this instance of a server refused a request because it is leaving.
     pub fn record_leaving_refusal(&mut self, now: Millis, name: &Name, start: Millis) {
         if self.index_of_start(name, start).is_none() {
             return;
@@ -151,8 +153,8 @@
         self.change_load(name, |view| view.leaving_until = now + LEAVING_REPORT_TTL_MS);
     }
 
-    /// Takes in how many requests a second this start of a server takes from all daemons, by
-    /// its own word; none when it names no limit any more.
+    /// Sets the limit, in requests per second from all daemons together, that this instance of
+    /// a server has announced; `None` when it announces no limit any more.
     pub fn set_rate_limit(&mut self, now: Millis, server: &ServerStart, per_second: Option<f64>) {
         let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
         let view = &mut self.servers[index];
@@ -163,24 +165,25 @@
         view.limit_per_s = per_second;
     }
 
-    /// Takes in that this start of a server gets nothing from this daemon until then, by its
-    /// limit of so many requests a second.
+    /// Stops sending to this instance of a server until `until`, because of its limit of
+    /// `per_second` requests from all daemons together.
     pub fn block_for_rate_limit(&mut self, server: &ServerStart, per_second: f64, until: Millis) {
         let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
         self.servers[index].limit_per_s = Some(per_second);
         self.servers[index].no_permit_until = until;
     }
 
-    /// The servers of a pool that get nothing from this daemon for their limits or rests.
+    /// Returns the servers of a pool that this daemon does not send to because they are at their
+    /// limits or have asked for rest.
     pub fn throttled_servers(&self, now: Millis, pool: &Name) -> Vec<String> {
         let halls = self.pools.get(pool).map(|pool| &pool.halls);
         let members = halls.into_iter().flatten().flat_map(|hall| &hall.members);
         let views = members.map(|index| &self.servers[*index as usize]);
-        let held_back = views.filter(|view| view.is_at_limit(now) || view.is_resting(now));
-        held_back.map(|view| view.name.to_string()).collect()
+        let throttled = views.filter(|view| view.is_at_limit(now) || view.is_resting(now));
+        throttled.map(|view| view.name.to_string()).collect()
     }
 
-    /// Takes in that a request with a prompt of this length was sent to this start of a
+    /// Records that a request with a prompt of this length was sent to this instance of a
     /// server; 0 for a request without a prompt.
     pub fn record_sent(&mut self, name: &Name, start: Millis, prompt: Tokens) {
         let Some(index) = self.index_of_start(name, start) else { return };
@@ -195,7 +198,8 @@
         }
     }
 
-    /// Takes in that a prompt of this length has been read there, or is given up.
+    /// Records that this instance of a server has read a prompt of this length, or that the
+    /// request was abandoned.
     pub fn record_prompt_read(&mut self, name: &Name, start: Millis, prompt: Tokens) {
         if self.index_of_start(name, start).is_none() {
             return;
@@ -203,15 +207,16 @@
         self.change_load(name, |view| view.unread = view.unread.saturating_sub(prompt));
     }
 
-    /// Takes in that a request there has ended, well or not.
-    pub fn record_ended(&mut self, now: Millis, name: &Name, start: Millis, well: bool) {
+    /// Records that a request to this instance of a server has ended. Failures in a row eject
+    /// the server for a time that doubles with each ejection.
+    pub fn record_ended(&mut self, now: Millis, name: &Name, start: Millis, succeeded: bool) {
         let Some(index) = self.index_of_start(name, start) else { return };
-        // Counts the pool's servers, so only where it matters.
-        let is_due = !well && self.servers[index].failures + 1 >= FAILURES_TO_EJECT;
+        // `may_eject` visits all servers of the pool, so it is called only when needed.
+        let is_due = !succeeded && self.servers[index].failures + 1 >= FAILURES_TO_EJECT;
         let may_eject = is_due && self.may_eject(now, index);
         self.change_load(name, |view| {
             view.in_flight = view.in_flight.saturating_sub(1);
-            if well {
+            if succeeded {
                 view.failures = 0;
                 if now >= view.ejected_until + SLOW_START_MS {
                     view.ejections = 0;
@@ -220,18 +225,18 @@
             }
             view.failures += 1;
             if may_eject {
-                let pause = FIRST_EJECTION_MS << view.ejections.min(5);
-                view.ejected_until = now + pause.min(MAX_EJECTION_MS);
+                let ejection_ms = FIRST_EJECTION_MS << view.ejections.min(5);
+                view.ejected_until = now + ejection_ms.min(MAX_EJECTION_MS);
                 view.ejections += 1;
                 view.failures = 0;
             }
         });
     }
 
-    /// Whether one more server may be ejected: where most of a pool fail, the trouble is
-    /// this host's, and no server is better than another. A host whose link was full for
-    /// 8 s refused 1,162 requests in 20 s for want of a server, half of them after it was
-    /// free again.
+    /// Returns whether one more server may be ejected. When most servers of a pool fail, the
+    /// fault is on this host, and ejecting servers only makes requests fail: without this check
+    /// a host whose link was full for 8 s refused 1,162 requests in 20 s for lack of a usable
+    /// server, half of them after the link was free again.
     fn may_eject(&self, now: Millis, index: usize) -> bool {
         self.pools_of_server[index].iter().all(|(pool, _)| {
             let Some(pool) = self.pools.get(pool) else { return true };
@@ -242,28 +247,28 @@
                 all += 1;
                 ejected += usize::from(now < view.ejected_until);
             }
-            (ejected + 1) * POOL_PER_EJECTED <= all
+            (ejected + 1) * MIN_SERVERS_PER_EJECTION <= all
         })
     }
 
-    /// What this daemon has sent that is still to be read, by server.
+    /// Returns the prompt tokens that this daemon has sent and that are not read yet, by server.
     pub fn unread_by_server(&self) -> Vec<UnreadTokens> {
         let unread = self.servers.iter().filter(|view| view.unread > 0);
-        let news = |view: &ServerView| UnreadTokens {
+        let tokens_of = |view: &ServerView| UnreadTokens {
             server: view.name.clone(),
             started_ms: view.started_ms,
             tokens: view.unread,
         };
-        unread.map(news).collect()
+        unread.map(tokens_of).collect()
     }
 
-    /// Takes in what a peer has sent that is still to be read.
-    pub fn merge_unread_report(&mut self, now: Millis, news: &UnreadReport) {
-        let Some(before) = self.peer_unread.merge(now, news) else { return };
-        for part in &before {
+    /// Merges a peer's report of the prompt tokens that it has sent and that are not read yet.
+    pub fn merge_unread_report(&mut self, now: Millis, report: &UnreadReport) {
+        let Some(replaced) = self.peer_unread.merge(now, report) else { return };
+        for part in &replaced {
             self.subtract_unread(part);
         }
-        for part in &news.unread {
+        for part in &report.unread {
             if self.index_of_start(&part.server, part.started_ms).is_none() {
                 continue;
             }
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Forgets what peers have told too long ago.
+    /// Removes what peers reported too long ago.
     pub fn expire_unread_reports(&mut self, now: Millis) {
         for part in self.peer_unread.expire(now) {
             self.subtract_unread(&part);
@@ -282,11 +287,13 @@
         if self.index_of_start(&part.server, part.started_ms).is_none() {
             return;
         }
-        let less = |tokens: Tokens| tokens.saturating_sub(part.tokens);
-        self.change_load(&part.server, |view| view.unread_elsewhere = less(view.unread_elsewhere));
+        let reduce = |tokens: Tokens| tokens.saturating_sub(part.tokens);
+        self.change_load(&part.server, |view| {
+            view.unread_elsewhere = reduce(view.unread_elsewhere)
+        });
     }
 
-    /// Takes in how a stream came that has ended there.
+    /// Records the pace of a stream from this instance of a server, once it has ended.
     pub fn record_stream_pace(&mut self, name: &Name, start: Millis, pace: StreamPace) {
         let Some(index) = self.index_of_start(name, start) else { return };
         self.change_pace(index, pace.event_ms);
@@ -297,14 +304,14 @@
         }
     }
 
-    /// Up to `most` servers' paces to tell peers, from place `turn` on.
-    pub fn paces(&self, most: usize, turn: usize) -> Vec<ServerPace> {
-        let start = turn % self.servers.len().max(1);
+    /// Returns up to `max` servers' paces to send to peers, from index `offset` on.
+    pub fn paces(&self, max: usize, offset: usize) -> Vec<ServerPace> {
+        let start = offset % self.servers.len().max(1);
         let around = self.servers[start..].iter().chain(&self.servers[..start]);
-        around.filter_map(ServerPace::of).take(most).collect()
+        around.filter_map(ServerPace::of).take(max).collect()
     }
 
-    /// Takes in what a peer has told of servers.
+    /// Merges server paces received from a peer.
     pub fn merge_paces(&mut self, paces: &[ServerPace]) {
         for pace in paces {
             if let Some(index) = self.index_of_start(&pace.server, pace.started_ms) {
@@ -324,7 +331,8 @@
         }
     }
 
-    /// Where this start of a server stands; none when it is not the one that is known.
+    /// Returns the index of this instance of a server, or `None` when the table has another
+    /// one or none.
     fn index_of_start(&self, name: &Name, start: Millis) -> Option<usize> {
         let index = *self.by_name.get(name)? as usize;
         (self.servers[index].started_ms == start).then_some(index)
@@ -369,7 +377,7 @@
         self.set_pause_goals(table);
     }
 
-    /// The tightest goal of the routes that lead to a pool holds for its streams.
+    /// Sets each pool's pause goal to the tightest goal of the routes that lead to it.
     fn set_pause_goals(&mut self, table: &Table) {
         for route in &table.routes {
             let RouteTarget::Host { split, .. } = &route.target else { continue };
@@ -387,13 +395,13 @@
             return;
         }
         let pool = self.pools.entry(name.clone()).or_default();
-        let place = pool.halls.iter().position(|hall| hall.hall == row.hall);
-        let place = place.unwrap_or_else(|| {
+        let hall_index = pool.halls.iter().position(|hall| hall.hall == row.hall);
+        let hall_index = hall_index.unwrap_or_else(|| {
             pool.halls.push(HallPool::new(table, &row.hall));
             pool.halls.len() - 1
         });
         pool.mean_pace.change(None, self.servers[index].event_ms);
-        pool.halls[place].add(row, index as u32, self.servers[index].total_load());
-        self.pools_of_server[index].push((name.clone(), place));
+        pool.halls[hall_index].add(row, index as u32, self.servers[index].total_load());
+        self.pools_of_server[index].push((name.clone(), hall_index));
     }
 }
--- a/crates/core/src/router/choose.rs
+++ b/crates/core/src/router/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for one request.
+//! Choice of a server for one request.
 
 use crate::crashes::ServerStart;
 use crate::router::Router;
@@ -8,59 +8,59 @@
 use crate::table::HOURS;
 use crate::{Millis, Name, Tokens};
 
-/// Requests that a server may have beyond its part, so that idle halls keep affinity.
+/// Requests that a server may have above its load bound, so that idle halls keep prefix affinity.
 const SLACK_REQUESTS: f64 = 4.0;
 
-/// Servers looked at along the ring before any usable one is taken.
+/// Servers probed along the ring before any usable one is taken.
 const MAX_PROBES: usize = 16;
 
-/// Why no server was found.
+/// Reason why no server was found.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NoServer {
-    /// No row of the table serves this.
+    /// No row of the table serves this pool.
     NoneInTable,
     /// Servers exist, but all of them are leaving, ejected or full.
     NoneUsable,
-    /// All halls that may serve this are evacuated, or lie outside its homes.
+    /// All halls of the pool are evacuated or outside the request's home regions.
     NoHall,
-    /// All that are left are cold; the first of them is warm after so many milliseconds.
+    /// All other servers are cold; the first of them is warm after this many milliseconds.
     OnlyCold(Millis),
-    /// All that are left, but for cold ones, take no more than the limits that they name.
+    /// All other servers that are not cold have reached the limits that they announced.
     OnlyLimited(AtLimit),
-    /// All that are left, but for cold ones, have asked this daemon for rest.
+    /// All other servers that are not cold have asked this daemon for rest.
     OnlyResting(Resting),
 }
 
 /// Servers that have asked this daemon for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Resting {
-    /// After so many milliseconds the first rest is over.
+    /// Milliseconds until the first rest ends.
     pub first_ms: Millis,
-    /// How many servers rest.
+    /// Number of resting servers.
     pub servers: usize,
 }
 
-/// Servers that take no more than the limits that they name.
+/// Servers that have reached the limits that they announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AtLimit {
-    /// After so many milliseconds the first of them may be asked for again.
+    /// Milliseconds until a permit for the first of them may be requested again.
     pub first_ms: Millis,
-    /// Requests a second that they take from all daemons together.
+    /// Requests per second that they accept from all daemons together.
     pub per_second: f64,
 }
 
-/// Regions that may serve a request; where there are none all may.
+/// Home regions of a request: the regions that may serve it. An empty list allows all regions.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Homes<'a> {
-    /// Those of its route.
+    /// Home regions of its route.
     pub route: &'a [Name],
-    /// Those of its workspace.
+    /// Home regions of its workspace.
     pub workspace: &'a [Name],
 }
 
 impl Homes<'_> {
-    /// Whether a hall in this region may serve it: both bind. A hall whose region is not
-    /// known is in none of them.
+    /// Returns whether a hall in this region may serve the request: the region has to be in
+    /// both lists. A hall of unknown region is in neither, unless the list is empty.
     pub fn allow(&self, region: Option<&Name>) -> bool {
         let is_in = |homes: &[Name]| {
             homes.is_empty() || region.is_some_and(|region| homes.contains(region))
@@ -74,30 +74,30 @@
 pub struct Choice {
     /// The server's name.
     pub server: Name,
-    /// The start of it that was chosen, as [`ServerView::started_ms`].
+    /// When the chosen instance of it was started, as [`ServerView::started_ms`].
     pub started_ms: Millis,
     /// Its address.
     pub address: String,
-    /// Address of the server that has read the prompt's shared parts, as far as this
-    /// daemon can tell, when it is another one.
+    /// Address of the server that presumably holds the prompt's shared prefix in its cache,
+    /// when it is another one.
     pub copy_from: Option<String>,
 }
 
 impl Choice {
-    /// The start of the server.
+    /// Returns the chosen instance of the server.
     pub fn start(&self) -> ServerStart {
         ServerStart { name: self.server.clone(), started_ms: self.started_ms }
     }
 }
 
-/// What a request asks the router for.
+/// Inputs for choosing a server for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingRequest<'a> {
     /// The pool: a model's name, or a service route's name.
     pub pool: &'a str,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Length of the prompt; 0 when that is not known.
+    /// Length of the prompt in tokens; 0 when unknown.
     pub prompt_tokens: Tokens,
     /// Hour of the day, UTC.
     pub hour: usize,
@@ -105,17 +105,17 @@
     pub seed: u64,
     /// Servers that this request has tried already.
     pub tried: &'a [Name],
-    /// Regions that may serve it.
+    /// Regions that may serve the request.
     pub homes: Homes<'a>,
 }
 
-/// What a search along the halls has come to.
+/// Result of the search along the ranked halls.
 #[derive(Debug, Default)]
 struct HallSearch<'a> {
-    /// The first server whose streams would not be disturbed: equal prefixes go there
-    /// unless it has too much to do.
+    /// First usable server where the prompt would not exceed the pause goal. Equal prefixes go
+    /// there unless it is above its load bound.
     first: Option<&'a ServerView>,
-    /// The first of those that have room too.
+    /// First of these servers that is also within its load bound.
     fitting: Option<&'a ServerView>,
 }
 
@@ -123,7 +123,7 @@
     /// Chooses a server.
     ///
     /// # Errors
-    /// [`NoServer`] tells whether the table has none or none is usable now.
+    /// [`NoServer`] when the table has no server for the pool or none is usable now.
     pub fn choose(&self, now: Millis, request: &RoutingRequest) -> Result<Choice, NoServer> {
         let pool = self.pools.get(request.pool).ok_or(NoServer::NoneInTable)?;
         let halls = self.ranked_halls(pool, request);
@@ -145,8 +145,9 @@
         })
     }
 
-    /// Chooses a server that is not the choice of `rank` others with the same prefix, where
-    /// there are so many.
+    /// Chooses the server at position `rank` (0 is the first) in the order of preference, so
+    /// that requests of equal prefix and different ranks go to different servers. Where there
+    /// are too few servers, the first one is chosen.
     ///
     /// # Errors
     /// As [`Router::choose`].
@@ -168,7 +169,7 @@
         Ok(choice)
     }
 
-    /// Why no server of these halls is usable.
+    /// Returns the reason why no server of these halls is usable.
     fn no_server_reason(
         &self,
         now: Millis,
@@ -177,21 +178,21 @@
     ) -> NoServer {
         let members = halls.iter().flat_map(|hall| &hall.members);
         let views = members.map(|index| &self.servers[*index as usize]);
-        let left: Vec<&ServerView> = views
+        let eligible: Vec<&ServerView> = views
             .filter(|view| view.is_eligible(now) && !request.tried.contains(&view.name))
             .collect();
         let (cold, warm): (Vec<&ServerView>, Vec<&ServerView>) =
-            left.into_iter().partition(|view| view.is_cold(now));
-        let (resting, awake): (Vec<&ServerView>, Vec<&ServerView>) =
+            eligible.into_iter().partition(|view| view.is_cold(now));
+        let (resting, active): (Vec<&ServerView>, Vec<&ServerView>) =
             warm.into_iter().partition(|view| view.is_resting(now));
-        let limited = awake.iter().filter(|view| view.is_at_limit(now));
+        let limited = active.iter().filter(|view| view.is_at_limit(now));
         if let Some(first_at) = limited.clone().map(|view| view.no_permit_until).min() {
             let per_second = limited.filter_map(|view| view.limit_per_s).sum();
             return NoServer::OnlyLimited(AtLimit { first_ms: first_at - now, per_second });
         }
-        // One that is at its limit as well comes back when both are over.
-        let opens_at = resting.iter().map(|view| view.rests_until.max(view.no_permit_until));
-        if let Some(first_at) = opens_at.min() {
+        // A resting server that is also at its limit is usable again when both have ended.
+        let usable_at = resting.iter().map(|view| view.rests_until.max(view.no_permit_until));
+        if let Some(first_at) = usable_at.min() {
             let servers = resting.len();
             return NoServer::OnlyResting(Resting { first_ms: first_at - now, servers });
         }
@@ -199,8 +200,8 @@
         warm_at.map_or(NoServer::NoneUsable, |at| NoServer::OnlyCold(at - now))
     }
 
-    /// Goes along the halls until a server fits: another hall is nearer than a long
-    /// wait, or than streams that are disturbed.
+    /// Searches the halls in order until a server fits. Going to another hall costs less than
+    /// a long wait or paused streams.
     fn search_halls<'a>(
         &'a self,
         now: Millis,
@@ -234,10 +235,11 @@
         search
     }
 
-    /// The pool's halls that take requests in this hour, the prefix's first hall first.
+    /// Returns the pool's halls that accept the request in this hour, ranked by rendezvous
+    /// score.
     fn ranked_halls<'a>(&self, pool: &'a Pool, request: &RoutingRequest) -> Vec<&'a HallPool> {
-        // A hall where this request has failed already comes last: when one
-        // server does not answer, its neighbours may not either.
+        // Halls where this request has already failed come last: when one server does not
+        // answer, others in its hall may not either.
         let failed: Vec<&Name> = request.tried.iter().filter_map(|n| self.hall_of(n)).collect();
         let mut halls: Vec<(bool, f64, &HallPool)> = pool
             .halls
@@ -255,7 +257,7 @@
         self.servers.get(*index as usize).map(|view| &view.hall)
     }
 
-    /// The usable servers of a hall among the first ones along its ring.
+    /// Returns the usable servers among the first [`MAX_PROBES`] on the hall's ring.
     fn usable_candidates<'a>(
         &'a self,
         now: Millis,
@@ -267,7 +269,8 @@
         self.probe_ring(hall, request.prefix).filter(is_usable)
     }
 
-    /// The least loaded of them; when there is none, any usable server of the hall.
+    /// Returns the least loaded of the usable candidates; without candidates, any usable server
+    /// of the hall.
     fn least_loaded<'a>(
         &'a self,
         now: Millis,
@@ -289,6 +292,8 @@
         })
     }
 
+    /// Returns the first [`MAX_PROBES`] servers on the hall's ring from the prefix on; adjacent
+    /// points of one server count once.
     fn probe_ring<'a>(
         &'a self,
         hall: &'a HallPool,
--- a/crates/core/src/router/closed_servers.rs
+++ b/crates/core/src/router/closed_servers.rs
@@ -1,4 +1,6 @@
-//! Servers that must not be sent to, by their own word.
+//! Servers that have announced that they are leaving or asked for rest.
+//!
+//! Such a server is closed: this daemon sends it no requests.
 
 use std::collections::HashMap;
 
@@ -9,10 +11,11 @@
 use crate::{Millis, Name};
 
 impl Router {
-    /// Whether this start of a server may be sent to as far as its own word goes.
+    /// Checks that this instance of a server has neither announced that it is leaving nor asked
+    /// for rest.
     ///
     /// # Errors
-    /// [`Closed`] tells what it has said.
+    /// [`Closed`] with the reason.
     pub fn check_open(&self, now: Millis, server: &ServerStart) -> Result<(), Closed> {
         let start = self.resolve_start(server);
         if self.leaving.contains(&start) {
@@ -22,13 +25,13 @@
         if left_ms > 0 { Err(Closed::Resting { left_ms }) } else { Ok(()) }
     }
 
-    /// Whether no server has said anything of that kind.
+    /// Returns whether no server instance is leaving or has asked for rest.
     pub fn all_open(&self) -> bool {
         self.leaving.is_empty() && self.rests.is_empty()
     }
 
-    /// Takes in that this start of a server says that it leaves; returns the fact for peers
-    /// when that is new.
+    /// Records that this instance of a server has announced that it is leaving. Returns the
+    /// fact to send to peers if it is new.
     pub fn observe_leaving(&mut self, now: Millis, server: &ServerStart) -> Option<LeavingFact> {
         let server = self.resolve_start(server);
         let is_new = self.leaving.add(now, &server, 0);
@@ -36,7 +39,7 @@
         is_new.then_some(LeavingFact { server, age_ms: 0 })
     }
 
-    /// Takes in starts of which peers have told that they leave; returns what is new.
+    /// Merges facts from peers about server instances that are leaving. Returns the new ones.
     pub fn merge_leaving(&mut self, now: Millis, facts: &[LeavingFact]) -> Vec<LeavingFact> {
         let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
         let new = self.leaving.merge(now, facts, |server| listed.contains(server));
@@ -44,18 +47,18 @@
         new
     }
 
-    /// Up to `most` of the starts that leave, from place `turn` on.
-    pub fn leaving_facts(&self, now: Millis, most: usize, turn: usize) -> Vec<LeavingFact> {
-        self.leaving.facts(now, most, turn)
+    /// Returns up to `max` facts about server instances that are leaving, from index `offset` on.
+    pub fn leaving_facts(&self, now: Millis, max: usize, offset: usize) -> Vec<LeavingFact> {
+        self.leaving.facts(now, max, offset)
     }
 
-    /// Hash of the starts that leave; 0 when there are none.
+    /// Returns a hash of the server instances that are leaving; 0 when there are none.
     pub fn leaving_digest(&self) -> u64 {
         self.leaving.digest()
     }
 
-    /// Takes in that this start of a server asks now for a rest of so many milliseconds;
-    /// returns whether it ends later than what was known.
+    /// Records that this instance of a server asks now for a rest of `rest_ms`. Returns whether
+    /// the rest ends later than the one known before.
     pub fn observe_rest(&mut self, now: Millis, server: &ServerStart, rest_ms: Millis) -> bool {
         let server = self.resolve_start(server);
         let is_longer = self.rests.observe(now, &server, rest_ms).is_some();
@@ -63,15 +66,16 @@
         is_longer
     }
 
-    /// Forgets starts that nobody lists any more, and rests that are over.
+    /// Removes leaving server instances that are no longer listed, and rests that have ended.
     pub fn expire_closed(&mut self, now: Millis) {
         let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
         self.leaving.forget_old(now, |server| listed.contains(server));
         self.rests.forget_old(now, |server| listed.contains(server));
     }
 
-    /// Takes in a load report's word of when the server was started. What was said by then
-    /// concerns that start when none was known, and another start has said nothing.
+    /// Records the start time from a load report, for a server whose row has none. Without an
+    /// earlier report, announcements received before apply to this instance; when an earlier
+    /// report named another start time, the server has restarted and they do not.
     pub(super) fn record_reported_start(&mut self, now: Millis, name: &Name, started_ms: Millis) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let view = &mut self.servers[index];
@@ -90,15 +94,15 @@
         self.refresh_view(name);
     }
 
-    /// The start whose word it is: a choice does not tell when a server of the operators' table
-    /// was started.
+    /// Completes the start time from load reports: a choice has none for a server of the
+    /// operators' table.
     fn resolve_start(&self, server: &ServerStart) -> ServerStart {
         let view = self.by_name.get(&server.name).map(|index| &self.servers[*index as usize]);
         let known = view.filter(|view| server.started_ms == 0 && view.started_ms == 0);
         known.map_or_else(|| server.clone(), ServerView::known_start)
     }
 
-    /// Puts what is known of a server to its view.
+    /// Copies a server's leaving and rest state into its view.
     fn refresh_view(&mut self, name: &Name) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let view = &mut self.servers[index];
@@ -108,7 +112,7 @@
     }
 }
 
-/// The starts of servers that are listed.
+/// Instances of the servers in the table.
 struct ListedStarts<'a> {
     servers: &'a [ServerView],
     by_name: &'a HashMap<Name, u32>,
--- a/crates/core/src/router/load.rs
+++ b/crates/core/src/router/load.rs
@@ -1,39 +1,40 @@
-//! What a server has to do, in the two ways that it can be too much.
+//! Load of a server in two dimensions: requests, and prompt tokens not read yet.
 
-/// A server may have this many times its hall's mean load.
+/// Highest load of a server, as a multiple of its hall's mean load.
 const MAX_LOAD_FACTOR: f64 = 1.25;
 
-/// What a server, or all servers of a hall, have to do.
+/// Load of one server, or of all servers of a hall together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct Load {
-    /// Requests that run or wait.
+    /// Running and waiting requests.
     pub(super) requests: f64,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are not read yet.
     pub(super) unread: f64,
 }
 
 impl Load {
-    /// The most that one of `members` may have that together have this much;
-    /// `slack` comes on top, so that idle halls keep affinity.
+    /// Returns the load bound of one server when `members` servers together have this load.
+    /// `slack` is added, so that idle halls keep prefix affinity.
     pub(super) fn bound(&self, members: usize, slack: Load) -> Load {
-        let part = MAX_LOAD_FACTOR / members.max(1) as f64;
+        let share = MAX_LOAD_FACTOR / members.max(1) as f64;
         Load {
-            requests: self.requests * part + slack.requests,
-            unread: self.unread * part + slack.unread,
+            requests: self.requests * share + slack.requests,
+            unread: self.unread * share + slack.unread,
         }
     }
 
-    /// Whether neither is above the bound.
+    /// Returns whether neither dimension exceeds the bound.
     pub(super) fn is_within(&self, bound: &Load) -> bool {
         self.requests <= bound.requests && self.unread <= bound.unread
     }
 
-    /// Whether less is to be done: what is unread delays others first.
+    /// Returns whether this load is lower. Unread tokens are compared first, since they delay
+    /// other requests most.
     pub(super) fn is_less(&self, other: &Load) -> bool {
         (self.unread, self.requests) < (other.unread, other.requests)
     }
 
-    /// Takes in that one part of this has changed.
+    /// Updates this total when the load of one server changes from `before` to `after`.
     pub(super) fn change(&mut self, before: &Load, after: &Load) {
         self.requests += after.requests - before.requests;
         self.unread += after.unread - before.unread;
--- a/crates/core/src/router/peer_unread.rs
+++ b/crates/core/src/router/peer_unread.rs
@@ -1,8 +1,7 @@
-//! What peers have sent to servers that has still to be read there.
+//! Prompt tokens that peers have sent to servers and that are not read yet.
 //!
-//! Each peer tells all that it has under way, so that news that are lost or come
-//! late do no harm: the next ones say it all, and what is not told again is
-//! forgotten.
+//! Each report of a peer lists all such tokens, so lost or late reports do no harm:
+//! the next one replaces them, and what is not reported again expires.
 
 use std::collections::HashMap;
 
@@ -10,54 +9,60 @@
 
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// News that are older count no more: a prompt is mostly read in less, and a peer
-/// that was killed tells nothing.
+/// Age at which a report expires: most prompts are read in less time, and a peer that was
+/// killed sends no further reports.
 const REPORT_TTL_MS: Millis = 1_500;
 
-/// Tokens that one daemon has sent to a server and that are still to be read there.
+/// Prompt tokens that one daemon has sent to a server and that the server has not read yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreadTokens {
     /// The server.
     pub server: Name,
-    /// The start of it, as [`crate::server_list::ListedServer::started_ms`].
+    /// When this instance of it was started, as
+    /// [`crate::server_list::ListedServer::started_ms`].
     pub started_ms: Millis,
-    /// The tokens.
+    /// Number of tokens.
     pub tokens: Tokens,
 }
 
-/// All that one daemon has sent and that is still to be read.
+/// All prompt tokens that one daemon has sent and that are not read yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreadReport {
-    /// Who has sent it.
+    /// The reporting daemon.
     pub from: Incarnation,
-    /// Counts the news of that start; older ones are passed over.
+    /// Sequence number among the reports of that incarnation; older reports are ignored.
     pub number: u64,
-    /// By server; servers with nothing to read are left out.
+    /// Tokens by server; servers without unread tokens are left out.
     pub unread: Vec<UnreadTokens>,
 }
 
-/// The last news of each peer.
+/// Last report of each peer, with the time of receipt.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerUnread {
     by_peer: HashMap<Incarnation, (Millis, UnreadReport)>,
 }
 
 impl PeerUnread {
-    /// Takes in news; returns what they replace, or none when newer ones are known.
-    pub(super) fn merge(&mut self, now: Millis, news: &UnreadReport) -> Option<Vec<UnreadTokens>> {
-        let known = self.by_peer.get(&news.from).map(|(_, known)| known);
-        if known.is_some_and(|known| known.number >= news.number) {
+    /// Merges a report. Returns the entries that it replaces, or `None` when it is not newer than
+    /// the last one.
+    pub(super) fn merge(
+        &mut self,
+        now: Millis,
+        report: &UnreadReport,
+    ) -> Option<Vec<UnreadTokens>> {
+        let known = self.by_peer.get(&report.from).map(|(_, known)| known);
+        if known.is_some_and(|known| known.number >= report.number) {
             return None;
         }
-        let before = self.by_peer.insert(news.from, (now, news.clone()));
-        Some(before.map(|(_, before)| before.unread).unwrap_or_default())
+        let replaced = self.by_peer.insert(report.from, (now, report.clone()));
+        Some(replaced.map(|(_, replaced)| replaced.unread).unwrap_or_default())
     }
 
-    /// Forgets news that are too old; returns what they told.
+    /// Empties expired reports and returns their entries.
     pub(super) fn expire(&mut self, now: Millis) -> Vec<UnreadTokens> {
         let is_old = |at: Millis| now > at + REPORT_TTL_MS;
         let old = self.by_peer.values_mut().filter(|(at, _)| is_old(*at));
-        // The number stays, so that older news do not come back.
-        old.flat_map(|(_, news)| std::mem::take(&mut news.unread)).collect()
+        // The sequence number is kept, so that older reports are still ignored.
+        old.flat_map(|(_, report)| std::mem::take(&mut report.unread)).collect()
     }
 }
--- a/crates/core/src/router/pool.rs
+++ b/crates/core/src/router/pool.rs
@@ -1,4 +1,4 @@
-//! Servers that serve the same thing, by hall.
+//! Pools: the servers of one model or service, grouped by hall.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -9,18 +9,18 @@
 use crate::table::{HOURS, Server, Table};
 use crate::{Millis, Name};
 
-/// Points on a hall's ring for a server of weight 1.
+/// Number of ring points of a server of weight 1.
 const POINTS_PER_SERVER: f64 = 32.0;
 
-/// Most points of one server, whatever its weight.
+/// Highest number of ring points of one server, whatever its weight.
 const MAX_POINTS: u32 = 512;
 
-/// Servers of one hall that serve the same thing.
+/// Servers of a pool in one hall.
 #[derive(Debug, Clone)]
 pub(super) struct HallPool {
     pub(super) hall: Name,
     pub(super) hall_key: u64,
-    /// Whether it takes new work.
+    /// Whether the hall accepts new requests; an evacuated one does not.
     pub(super) is_open: bool,
     pub(super) region: Option<Name>,
     pub(super) weights: [f64; HOURS],
@@ -30,11 +30,11 @@
     pub(super) load: Load,
 }
 
-/// Servers that serve the same thing, by hall.
+/// Servers of one model or service, grouped by hall.
 #[derive(Debug, Clone)]
 pub(super) struct Pool {
     pub(super) halls: Vec<HallPool>,
-    /// Longest pause of a stream that its callers accept.
+    /// Longest pause of a stream that callers accept, in milliseconds.
     pub(super) pause_goal: Millis,
     pub(super) mean_pace: MeanPace,
 }
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Whether requests with these homes may go there.
+    /// Returns whether the hall accepts requests with these home regions.
     pub(super) fn may_serve(&self, homes: &Homes) -> bool {
         self.is_open && homes.allow(self.region.as_ref())
     }
 
-    /// Adds a server, which has this load now.
+    /// Adds a server with its current load. The caller sorts the ring afterwards.
     pub(super) fn add(&mut self, row: &Server, index: u32, load: Load) {
         self.members.push(index);
         self.load.change(&Load::default(), &load);
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Score in weighted rendezvous hashing: a hall wins in proportion to its
-    /// weight in this hour.
+    /// Returns the hall's score in weighted rendezvous hashing: a hall ranks first for a share
+    /// of the prefixes proportional to its weight in this hour.
     pub(super) fn score(&self, request: &RoutingRequest) -> f64 {
         let hash = rendezvous_score(request.prefix, self.hall_key);
         let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
--- a/crates/core/src/router/status.rs
+++ b/crates/core/src/router/status.rs
@@ -1,4 +1,4 @@
-//! What each server is to this daemon, for people.
+//! Status of each server as seen by this daemon, for operators.
 
 use serde::Serialize;
 
@@ -12,43 +12,43 @@
 pub enum Availability {
     /// It gets requests.
     Ready,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It has asked this daemon for rest.
+    /// It has asked this daemon to send nothing for a while.
     Resting,
-    /// This daemon may send it nothing now for its limit.
+    /// This daemon may not send to it now because of its limit.
     AtLimit,
     /// It has just started.
     Cold,
     /// It has failed too often.
     Ejected,
-    /// As many requests of this daemon are open there as its row allows.
+    /// This daemon has as many open requests there as its row allows.
     Full,
 }
 
-/// One server.
+/// Status of one server.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServerStatus {
     /// Its name.
     pub server: Name,
     /// Its hall.
     pub hall: Name,
-    /// Whether it gets requests.
+    /// Whether it gets requests, and if not, why.
     pub state: Availability,
-    /// What the state rests on.
+    /// The source of the state; empty when the server is ready.
     pub why: &'static str,
-    /// For how much longer, in milliseconds, where that is known.
+    /// Milliseconds until the state ends, where known.
     pub left_ms: Option<Millis>,
-    /// Requests of this daemon that are open there.
+    /// Number of open requests of this daemon there.
     pub open: u32,
-    /// Requests a second that it takes from all daemons, when it said so.
+    /// Requests per second that it accepts from all daemons together, if it announced a limit.
     pub limit_per_s: Option<f64>,
-    /// When this start of it began, in milliseconds since 1970; 0 where nobody tells.
+    /// When this instance of it was started, in milliseconds since 1970; 0 when unknown.
     pub started_ms: Millis,
 }
 
 impl Router {
-    /// What each server is to this daemon now.
+    /// Returns the current status of each server.
     pub fn statuses(&self, now: Millis) -> Vec<ServerStatus> {
         self.servers.iter().map(|view| view.status(now)).collect()
     }
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -1,4 +1,4 @@
-//! One backend server as a daemon sees it: its load, and whether it is usable.
+//! State of one backend server as seen by this daemon: its load, and whether it is usable.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,51 +7,53 @@
 use crate::table::{Server, ServerKind, ServerState};
 use crate::{Millis, Name, Tokens};
 
-/// Failures in a row that eject a server.
+/// Number of failures in a row that eject a server.
 pub(super) const FAILURES_TO_EJECT: u32 = 3;
 
-/// First ejection; each further one is twice as long.
+/// Duration of a server's first ejection; each further one is twice as long.
 pub(super) const FIRST_EJECTION_MS: Millis = 1_000;
 
-/// Longest ejection.
+/// Longest duration of an ejection.
 pub(super) const MAX_EJECTION_MS: Millis = 30_000;
 
-/// At most one in so many servers of a pool is ejected at once.
-pub(super) const POOL_PER_EJECTED: usize = 2;
+/// At most one in this many servers of a pool is ejected at the same time.
+pub(super) const MIN_SERVERS_PER_EJECTION: usize = 2;
 
-/// After an ejection, a limit or a rest a server takes its full share again only after this long.
+/// Time after an ejection, a limit or a rest over which a server's share of requests grows back
+/// to its full value.
 pub(super) const SLOW_START_MS: Millis = 5_000;
 
-/// A server's own word that it leaves is believed this long.
+/// How long a load report or a refusal that names the server as leaving is valid.
 pub(super) const LEAVING_REPORT_TTL_MS: Millis = 10_000;
 
-/// A load report, as servers tell it.
+/// Load report of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Whether the server takes no new work.
+    /// Whether the server is leaving and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// When this start of the server began, in milliseconds since 1970; 0 where it doesn't say.
+    /// When this instance of the server was started, in milliseconds since 1970; 0 when the
+    /// server does not report it.
     #[serde(default)]
     pub started_ms: Millis,
 }
 
-/// One server as this daemon sees it.
+/// State of one server as seen by this daemon.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServerView {
-    /// The row's name.
+    /// Name of the server's row.
     pub name: Name,
-    /// Its hall.
+    /// Hall of the server.
     pub hall: Name,
-    /// Its address.
+    /// Address of the server.
     pub address: String,
-    /// When this start of it began, in milliseconds since 1970; 0 where nobody tells.
+    /// When this instance of it was started, in milliseconds since 1970; 0 when unknown.
     pub started_ms: Millis,
-    /// The same by its load reports, for a row of the operators, which doesn't tell.
+    /// Start time from its load reports, for rows of the operators' table, which have none.
     pub(super) reported_start_ms: Millis,
     pub(super) cold_until: Millis,
     pub(super) limit: u32,
@@ -59,27 +61,27 @@
     pub(super) row_draining: bool,
     pub(super) listed_leaving: bool,
     pub(super) leaving_until: Millis,
-    /// Whether it has said itself that it leaves, for good.
+    /// Whether it has announced in its answers that it is leaving; this is final.
     pub(super) said_leaving: bool,
-    /// It has asked this daemon for rest until then.
+    /// When the rest that it has asked this daemon for ends.
     pub(super) rests_until: Millis,
     pub(super) in_flight: u32,
-    /// Tokens of prompts that were sent there and of which no answer has begun.
+    /// Tokens of the prompts that this daemon has sent and whose answers have not begun.
     pub(super) unread: Tokens,
-    /// The same of peers, as they have told.
+    /// The same for peers, from their reports.
     pub(super) unread_elsewhere: Tokens,
     pub(super) reported: u32,
     pub(super) in_flight_at_report: u32,
     pub(super) failures: u32,
     pub(super) ejections: u32,
     pub(super) ejected_until: Millis,
-    /// It takes no more than its limit until then, as far as this daemon may send.
+    /// Until when this daemon has no permit to send to it, because of its limit.
     pub(super) no_permit_until: Millis,
-    /// Requests a second that it takes from all daemons, when it said so.
+    /// Requests per second that it accepts from all daemons together, if it announced a limit.
     pub(super) limit_per_s: Option<f64>,
-    /// When its limit was lifted last.
+    /// When its limit was last lifted.
     pub(super) lifted_at: Option<Millis>,
-    /// Usual time between two events of a stream there, in milliseconds.
+    /// Usual time between two events of its streams, in milliseconds.
     pub(super) event_ms: Option<f64>,
 }
 
@@ -114,61 +116,66 @@
         }
     }
 
-    /// The start of it.
+    /// Returns the instance of the server that is in the table.
     pub fn start(&self) -> ServerStart {
         ServerStart { name: self.name.clone(), started_ms: self.started_ms }
     }
 
-    /// The start of it, also when only its load reports tell.
+    /// Returns the instance of the server, with the start time from its load reports when the
+    /// table has none.
     pub(super) fn known_start(&self) -> ServerStart {
         let is_listed = self.started_ms != 0;
         let started_ms = if is_listed { self.started_ms } else { self.reported_start_ms };
         ServerStart { name: self.name.clone(), started_ms }
     }
 
-    /// The late report, corrected by what this daemon has sent since.
+    /// Returns the number of requests from the last load report, corrected by the requests that
+    /// this daemon has opened and ended since.
     pub fn load(&self) -> f64 {
-        let since = i64::from(self.in_flight) - i64::from(self.in_flight_at_report);
-        let load = i64::from(self.reported) + since;
+        let change = i64::from(self.in_flight) - i64::from(self.in_flight_at_report);
+        let load = i64::from(self.reported) + change;
         load.max(i64::from(self.in_flight)) as f64
     }
 
-    /// Requests and unread prompts, as far as this daemon knows.
+    /// Returns the known load of the server in requests and unread prompt tokens.
     pub(super) fn total_load(&self) -> Load {
         Load { requests: self.load(), unread: (self.unread + self.unread_elsewhere) as f64 }
     }
 
-    /// Whether it must not be given new work.
+    /// Returns whether the server is leaving and must get no new requests.
     pub fn is_leaving(&self, now: Millis) -> bool {
         self.said_leaving || self.row_draining || self.listed_leaving || now < self.leaving_until
     }
 
+    /// Returns whether requests may be sent to the server now.
     pub(super) fn is_usable(&self, now: Millis) -> bool {
         let is_held_back = self.is_cold(now) || self.is_at_limit(now) || self.is_resting(now);
         self.is_eligible(now) && !is_held_back
     }
 
-    /// Whether it has asked this daemon for rest.
+    /// Returns whether a rest that the server has asked this daemon for is in force.
     pub(super) fn is_resting(&self, now: Millis) -> bool {
         now < self.rests_until
     }
 
-    /// Whether this daemon may send it nothing for its limit.
+    /// Returns whether this daemon may not send to the server because of its limit.
     pub(super) fn is_at_limit(&self, now: Millis) -> bool {
         now < self.no_permit_until
     }
 
-    /// Whether it is slow after its start, and collapses under more than a few requests.
+    /// Returns whether the server is still slow after its start and would be overloaded by more
+    /// than a few requests.
     pub(super) fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until
     }
 
-    /// Whether it would be usable if it were neither cold nor at its limit, and did not rest.
+    /// Returns whether the server would be usable if it were not cold, at its limit or resting.
     pub(super) fn is_eligible(&self, now: Millis) -> bool {
         !self.is_leaving(now) && now >= self.ejected_until && self.in_flight < self.limit
     }
 
-    /// Whether a slow return passes this request on.
+    /// Returns whether the server rejects this request during slow start: the share of accepted
+    /// requests grows linearly over [`SLOW_START_MS`]. `seed` is random.
     pub(super) fn is_shed_by_slow_start(&self, now: Millis, seed: u64) -> bool {
         let ejected_until = (self.ejections > 0).then_some(self.ejected_until);
         let rested_until = (self.rests_until > 0).then_some(self.rests_until);
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,37 +1,37 @@
-//! The check that a piece of an answer belongs to the stream it arrived on.
+//! Check that a chunk of an answer belongs to the stream on which it was received.
 
-/// What is to become of one arriving piece.
+/// How to handle one received chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SequenceCheck {
-    /// It is the next piece: deliver it.
+    /// It is the next chunk: deliver it.
     Deliver,
     /// It was delivered before: drop it.
     Duplicate,
-    /// Pieces before it are missing: the stream must be resumed.
+    /// Chunks before it are missing: resume the stream.
     Gap,
-    /// It belongs to another request: drop it and log it.
+    /// It belongs to another run: drop it and log it.
     WrongRun,
 }
 
-/// Where a stream stands.
+/// Position in the stream of one run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventSequence {
+pub struct ChunkSequence {
     run: String,
     next: u64,
 }
 
-impl EventSequence {
-    /// The start of the stream of this run.
+impl ChunkSequence {
+    /// Creates the position at the start of the stream of `run`.
     pub fn new(run: String) -> Self {
-        EventSequence { run, next: 0 }
+        ChunkSequence { run, next: 0 }
     }
 
-    /// Offset of the piece that comes next.
+    /// Returns the offset of the next chunk.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Judges the piece that says it has this run and this offset.
+    /// Checks a chunk by its run and offset; advances the position when it is the next one.
     pub fn accept(&mut self, run: &str, offset: u64) -> SequenceCheck {
         if run != self.run {
             return SequenceCheck::WrongRun;
--- a/crates/daemon/src/api/pump.rs
+++ b/crates/daemon/src/api/pump.rs
@@ -10,7 +10,7 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::hints::Closed;
 use bankcove_core::lifecycle::{Attempt, Dispatched};
-use bankcove_core::stream::{EventSequence, SequenceCheck};
+use bankcove_core::stream::{ChunkSequence, SequenceCheck};
 use bankcove_core::{Millis, Name, Tokens};
 use bytes::Bytes;
 use reqwest::Response;
@@ -110,7 +110,7 @@
         model: &model,
         run_id: &run_id,
         max_tokens,
-        sequence: EventSequence::new(run_id.clone()),
+        sequence: ChunkSequence::new(run_id.clone()),
         pieces: &pieces,
     };
     let ending = tokio::select! {
@@ -228,7 +228,7 @@
     model: &'a str,
     run_id: &'a str,
     max_tokens: Tokens,
-    sequence: EventSequence,
+    sequence: ChunkSequence,
     pieces: &'a mpsc::Sender<Bytes>,
 }
 
