--- a/crates/core/tests/link.rs
+++ b/crates/core/tests/link.rs
@@ -1,8 +1,8 @@
-//! The link of a host: how far ahead it is promised, and to whom.
+//! Admission control for the link of a host: reservations by priority rank.
 
 use bankcove_core::link::{Link, Traffic};
 
-/// 1 MB/s, of which four fifths are usable: 800 bytes a millisecond.
+/// Returns a link of 1 MB/s, of which four fifths are usable: 800 bytes per millisecond.
 fn link() -> Link {
     Link::new(8.0)
 }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_was_promised_is_sent_as_time_goes_by() {
+fn the_backlog_shrinks_as_time_passes() {
     let mut link = link();
     assert!(link.reserve(traffic(800 * 2_000), 0, 0));
     assert!(!link.reserve(traffic(1), 0, 400));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_request_that_sends_less_than_expected_gives_its_promise_back() {
+fn a_request_that_sends_less_than_expected_releases_the_rest_of_its_reservation() {
     let mut link = link();
     let expected = traffic(800 * 2_000);
     assert!(link.reserve(expected, 0, 0));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn pieces_cost_more_than_their_bytes() {
+fn chunks_cost_more_than_their_bytes() {
     let mut link = link();
     let many = Traffic { bytes: 0, chunks: 20_000 };
     assert!(link.reserve(many, 0, 0));
--- a/crates/core/tests/server_eligibility.rs
+++ b/crates/core/tests/server_eligibility.rs
@@ -1,4 +1,4 @@
-//! Where requests may go: evacuated halls, cold servers, homes, servers that start again.
+//! Servers that may get a request: evacuated halls, cold servers, home regions and restarts.
 
 use bankcove_core::Name;
 use bankcove_core::hall_list::{EvacuatedHalls, HallChanges, HallList};
@@ -15,7 +15,7 @@
 
 const HALLS: [&str; 3] = ["hall-0", "hall-1", "hall-2"];
 
-/// Twelve servers in three halls, each in a region of its own.
+/// Returns a table of twelve servers in three halls, each hall in its own region.
 fn table() -> Table {
     let halls: Vec<_> =
         (0..3).map(|n| json!({"name": HALLS[n], "region": format!("region-{n}")})).collect();
@@ -49,11 +49,11 @@
 }
 
 proptest! {
-    /// Whatever is evacuated, cold, at home or tried already: nothing goes to a hall that
-    /// takes no work, to a cold server, or out of its homes, and where a server is left it
-    /// is found.
+    /// For any combination of evacuated halls, cold servers and home regions: no request goes to
+    /// an evacuated hall, to a cold server or outside its home regions, and an eligible server is
+    /// found if there is one.
     #[test]
-    fn a_choice_keeps_to_halls_homes_and_warm_servers(
+    fn a_choice_is_warm_at_home_and_not_evacuated(
         evacuated in prop::collection::vec(any::<bool>(), 3),
         cold in prop::collection::vec(any::<bool>(), 12),
         route in prop::collection::vec(0..3_usize, 0..3),
@@ -69,51 +69,53 @@
         }
         let mut router = Router::default();
         router.adopt(&table);
-        let regions = |of: &[usize]| -> Vec<Name> {
-            of.iter().map(|n| Name::from(format!("region-{n}").as_str())).collect()
+        let regions = |halls: &[usize]| -> Vec<Name> {
+            halls.iter().map(|n| Name::from(format!("region-{n}").as_str())).collect()
         };
-        let (of_route, of_workspace) = (regions(&route), regions(&workspace));
-        let homes = Homes { route: &of_route, workspace: &of_workspace };
-        let may = |hall: usize| {
-            let is_home = |of: &[usize]| of.is_empty() || of.contains(&hall);
+        let (route_regions, workspace_regions) = (regions(&route), regions(&workspace));
+        let homes = Homes { route: &route_regions, workspace: &workspace_regions };
+        let may_serve = |hall: usize| {
+            let is_home = |halls: &[usize]| halls.is_empty() || halls.contains(&hall);
             !evacuated[hall] && is_home(&route) && is_home(&workspace)
         };
-        let fits = |n: usize| may(n % 3) && !cold[n];
+        let is_eligible = |n: usize| may_serve(n % 3) && !cold[n];
         match router.choose(50, &request(prefix, homes, &[])) {
             Ok(choice) => {
                 let number: usize = choice.server.as_str()[1..].parse().expect("a number");
-                prop_assert!(fits(number), "{} was chosen", choice.server);
-                prop_assert!(choice.copy_from.is_none() || (0..3).any(may));
+                prop_assert!(is_eligible(number), "{} was chosen", choice.server);
+                prop_assert!(choice.copy_from.is_none() || (0..3).any(may_serve));
             }
             Err(why) => {
-                prop_assert!(!(0..12).any(fits));
-                let any_hall = (0..3).any(may);
+                prop_assert!(!(0..12).any(is_eligible));
+                let any_hall = (0..3).any(may_serve);
                 let expected = if any_hall { NoServer::OnlyCold(50) } else { NoServer::NoHall };
                 prop_assert_eq!(why, expected);
             }
         }
     }
 
-    /// In whatever order peers tell of evacuations, all end with the newest list, and none
-    /// goes back.
+    /// In whatever order lists of evacuated halls are received from peers, the result is the
+    /// newest list, and no older list replaces a newer one.
     #[test]
-    fn evacuations_never_go_back(
-        told in prop::collection::vec((1..20_u64, prop::collection::btree_set(0..3_usize, 0..3)), 1..20),
+    fn an_older_evacuation_list_never_replaces_a_newer_one(
+        received in prop::collection::vec(
+            (1..20_u64, prop::collection::btree_set(0..3_usize, 0..3)), 1..20,
+        ),
     ) {
         let mut list = HallList::default();
         let mut newest = 0;
-        for (at, halls) in &told {
+        for (at, halls) in &received {
             let halls = halls.iter().map(|n| Name::from(HALLS[*n])).collect();
             list.adopt(*at, EvacuatedHalls { at: *at, halls });
             prop_assert!(list.told().at >= newest);
             newest = list.told().at;
         }
-        prop_assert_eq!(newest, told.iter().map(|(at, _)| *at).max().unwrap_or_default());
+        prop_assert_eq!(newest, received.iter().map(|(at, _)| *at).max().unwrap_or_default());
     }
 }
 
 #[test]
-fn a_hall_that_is_taken_back_is_known_with_its_time() {
+fn a_reopened_hall_is_kept_with_its_time() {
     let mut list = HallList::default();
     let whole = |at, halls: &[&str]| HallChanges {
         at,
@@ -122,13 +124,13 @@
         ..HallChanges::default()
     };
     assert!(!list.apply(0, whole(3, &[])));
-    assert_eq!(list.told().at, 3, "an empty list is a list");
-    let added = HallChanges { at: 5, evacuated: names(&["hall-1"]), ..HallChanges::default() };
-    assert!(list.apply(10, added));
+    assert_eq!(list.told().at, 3, "an empty list counts as a list");
+    let evacuated = HallChanges { at: 5, evacuated: names(&["hall-1"]), ..HallChanges::default() };
+    assert!(list.apply(10, evacuated));
     assert!(!list.apply(11, HallChanges { at: 7, ..HallChanges::default() }));
     assert_eq!(list.told().at, 5);
-    let back = HallChanges { at: 9, reopened: names(&["hall-1"]), ..HallChanges::default() };
-    assert!(list.apply(20, back));
+    let reopened = HallChanges { at: 9, reopened: names(&["hall-1"]), ..HallChanges::default() };
+    assert!(list.apply(20, reopened));
     assert_eq!(list.reopened_at(&Name::from("hall-1")), Some(20));
     assert_eq!(list.reopened_at(&Name::from("hall-2")), None);
 }
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn an_earlier_start_that_is_told_late_replaces_and_removes_nothing() {
+fn a_late_entry_of_an_earlier_instance_replaces_and_removes_nothing() {
     let mut list = ServerList::default();
     assert!(list.apply(0, put(1, listed(2_000))));
     assert!(!list.apply(1, put(2, ListedServer { draining: true, ..listed(1_000) })));
@@ -166,47 +168,48 @@
     };
     assert!(!list.apply(2, gone(1_000)));
     assert_eq!(starts(&list), [2_000]);
-    let by_peer = SharedServer { server: listed(1_000), dropped_in: None, cold_in: 0 };
-    list.adopt(3, ListVersion { at: 9, drops: 0 }, vec![by_peer]);
+    let from_peer = SharedServer { server: listed(1_000), dropped_in: None, cold_in: 0 };
+    list.adopt(3, ListVersion { at: 9, drops: 0 }, vec![from_peer]);
     assert_eq!(starts(&list), [2_000]);
     assert!(list.apply(4, gone(2_000)));
     assert_eq!(starts(&list), [] as [Millis; 0]);
 }
 
 #[test]
-fn how_long_a_server_is_cold_counts_from_when_it_said_so() {
+fn the_cold_period_counts_from_the_first_entry_that_announced_it() {
     let mut list = ServerList::default();
     let cold = ListedServer { cold_for_ms: 3_000, ..listed(1) };
     let until = |list: &ServerList| list.servers_with_cold().map(|(_, until)| until).next();
     list.apply(100, put(1, cold.clone()));
     assert_eq!(until(&list), Some(3_100));
-    // The same entry once more, as in a list that is read anew, says nothing new.
+    // The same entry again, as when the list is read again, does not extend the period.
     list.apply(2_000, put(2, cold));
     assert_eq!(until(&list), Some(3_100));
-    let mut told = ServerList::default();
-    told.adopt(50, list.version(), list.shared(1_100));
-    assert_eq!(until(&told), Some(2_050));
+    let mut peer = ServerList::default();
+    peer.adopt(50, list.version(), list.shared(1_100));
+    assert_eq!(until(&peer), Some(2_050));
     list.apply(5_000, put(3, ListedServer { cold_for_ms: 0, ..listed(1) }));
-    assert!(until(&list) <= Some(5_000), "it is warm");
+    assert!(until(&list) <= Some(5_000), "the server is warm");
 }
 
-/// Load pattern: thousands of servers start, and each entry counts down how long its server
-/// is cold. Each version of the list goes whole to every daemon.
+/// Guards against a new list version for every step of a countdown. Load pattern: thousands of
+/// servers start, and each entry counts down the remaining cold time of its server. Each version
+/// of the list is sent as a whole to every daemon.
 #[test]
-fn a_cold_server_that_turns_warm_as_it_said_makes_no_version() {
+fn a_server_that_turns_warm_as_announced_creates_no_list_version() {
     let mut list = ServerList::default();
     let cold = |cold_for_ms| ListedServer { cold_for_ms, ..listed(1) };
     assert!(list.apply(0, put(1, cold(3_000))));
-    assert!(!list.apply(1_300, put(2, cold(1_800))), "it counts down");
-    assert!(!list.apply(3_700, put(3, cold(0))), "it is warm, which was known");
+    assert!(!list.apply(1_300, put(2, cold(1_800))), "the remaining time decreases");
+    assert!(!list.apply(3_700, put(3, cold(0))), "warm at the announced time");
     assert_eq!(list.version().at, 1);
-    assert!(list.apply(9_000, put(4, cold(3_000))), "it has turned cold again");
-    assert!(list.apply(9_500, put(5, cold(0))), "it is warm earlier than it said");
+    assert!(list.apply(9_000, put(4, cold(3_000))), "cold again");
+    assert!(list.apply(9_500, put(5, cold(0))), "warm before the announced time");
     assert_eq!(list.servers_with_cold().map(|(_, until)| until).next(), Some(9_500));
     assert!(list.apply(9_600, put(6, ListedServer { draining: true, ..cold(0) })));
 }
 
-fn with_start(started_ms: Millis) -> Table {
+fn table_with_start(started_ms: Millis) -> Table {
     let mut table = table();
     table.servers[0].listed.started_ms = started_ms;
     table
@@ -217,10 +220,10 @@
 }
 
 #[test]
-fn another_start_under_the_same_name_inherits_nothing() {
+fn another_instance_of_the_same_name_inherits_no_state() {
     let first = Name::from("s0");
     let mut router = Router::default();
-    router.adopt(&with_start(1_000));
+    router.adopt(&table_with_start(1_000));
     router.record_sent(&first, 1_000, 5_000);
     router.record_sent(&first, 1_000, 5_000);
     router.record_leaving_refusal(0, &first, 1_000);
@@ -230,37 +233,37 @@
         LoadReport { running: 7, waiting: 2, leaving: true, started_ms: 0 },
     );
     assert!(router.servers()[0].is_leaving(1));
-    router.adopt(&with_start(2_000));
-    // The answer to a request of before comes late.
+    router.adopt(&table_with_start(2_000));
+    // A late answer to a request to the earlier instance.
     router.record_leaving_refusal(0, &first, 1_000);
     assert!(!router.servers()[0].is_leaving(1));
     assert_eq!(load_of_first(&router), 0.0);
     assert_eq!(router.unread_by_server(), []);
-    // What was under way at the earlier start ends without a trace, and so do three
-    // failures there, which would eject a server.
+    // Requests to the earlier instance that end now have no effect, not even three failures,
+    // which would eject a server.
     router.record_sent(&first, 2_000, 0);
     for _ in 0..3 {
         router.record_ended(1, &first, 1_000, false);
     }
     router.record_prompt_read(&first, 1_000, 5_000);
     assert_eq!(load_of_first(&router), 1.0);
-    let only: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
-    let choice = router.choose(1, &request(1, Homes::default(), &only)).expect("it is usable");
+    let others: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
+    let choice = router.choose(1, &request(1, Homes::default(), &others)).expect("it is usable");
     assert_eq!((choice.server, choice.started_ms), (first, 2_000));
 }
 
 #[test]
-fn what_peers_tell_of_an_earlier_start_does_not_count() {
+fn reports_from_peers_about_an_earlier_instance_do_not_count() {
     let mut router = Router::default();
-    router.adopt(&with_start(2_000));
-    let news = |number, started_ms| UnreadReport {
+    router.adopt(&table_with_start(2_000));
+    let report = |number, started_ms| UnreadReport {
         from: Incarnation(1),
         number,
         unread: vec![UnreadTokens { server: Name::from("s0"), started_ms, tokens: 90_000 }],
     };
-    router.merge_unread_report(0, &news(1, 1_000));
-    let all: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
-    assert!(router.choose(0, &request(1, Homes::default(), &all)).is_ok());
-    router.merge_unread_report(0, &news(2, 2_000));
+    router.merge_unread_report(0, &report(1, 1_000));
+    let others: Vec<Name> = (1..12).map(|n| Name::from(format!("s{n}").as_str())).collect();
+    assert!(router.choose(0, &request(1, Homes::default(), &others)).is_ok());
+    router.merge_unread_report(0, &report(2, 2_000));
     assert!(hall_of(&Name::from("s0")) == 0);
 }
--- a/crates/core/tests/unavailable_servers.rs
+++ b/crates/core/tests/unavailable_servers.rs
@@ -1,5 +1,5 @@
-//! Servers that leave, rest, are cold, at their limits, ejected, or in halls that are evacuated or
-//! outside a request's homes, all at once.
+//! Property test of the choice among servers that are leaving, resting, cold, at their limits,
+//! ejected, in evacuated halls or outside the request's home regions, in any combination.
 
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::router::{Homes, NoServer, Router, RoutingRequest};
@@ -12,10 +12,10 @@
 const HALLS: usize = 3;
 const NOW: Millis = 10_000;
 
-/// What holds one server back.
+/// Condition that makes one server unavailable.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Held {
-    Nothing,
+enum Condition {
+    Available,
     Leaving,
     Resting(Millis),
     Cold,
@@ -23,14 +23,14 @@
     Ejected,
 }
 
-fn held() -> impl Strategy<Value = Held> {
+fn condition() -> impl Strategy<Value = Condition> {
     prop_oneof![
-        2 => Just(Held::Nothing),
-        2 => Just(Held::Leaving),
-        2 => (1..5_000_u64).prop_map(Held::Resting),
-        1 => Just(Held::Cold),
-        1 => Just(Held::AtLimit),
-        1 => Just(Held::Ejected),
+        2 => Just(Condition::Available),
+        2 => Just(Condition::Leaving),
+        2 => (1..5_000_u64).prop_map(Condition::Resting),
+        1 => Just(Condition::Cold),
+        1 => Just(Condition::AtLimit),
+        1 => Just(Condition::Ejected),
     ]
 }
 
@@ -58,14 +58,14 @@
     ServerStart { name: Name::from(format!("s{n}").as_str()), started_ms: 0 }
 }
 
-fn hold(router: &mut Router, n: usize, held: Held) {
+fn apply(router: &mut Router, n: usize, condition: Condition) {
     let server = start(n);
-    match held {
-        Held::Nothing | Held::Cold => {}
-        Held::Leaving => drop(router.observe_leaving(NOW, &server)),
-        Held::Resting(rest_ms) => drop(router.observe_rest(NOW, &server, rest_ms)),
-        Held::AtLimit => router.block_for_rate_limit(&server, 1.0, NOW + 700),
-        Held::Ejected => {
+    match condition {
+        Condition::Available | Condition::Cold => {}
+        Condition::Leaving => drop(router.observe_leaving(NOW, &server)),
+        Condition::Resting(rest_ms) => drop(router.observe_rest(NOW, &server, rest_ms)),
+        Condition::AtLimit => router.block_for_rate_limit(&server, 1.0, NOW + 700),
+        Condition::Ejected => {
             for _ in 0..3 {
                 router.record_sent(&server.name, 0, 0);
                 router.record_ended(NOW, &server.name, 0, false);
@@ -76,23 +76,23 @@
 
 proptest! {
     #[test]
-    fn a_choice_is_open_and_an_open_server_is_found(
+    fn the_choice_is_available_and_an_available_server_is_found(
         evacuated in prop::collection::vec(any::<bool>(), HALLS),
-        helds in prop::collection::vec(held(), SERVERS),
+        conditions in prop::collection::vec(condition(), SERVERS),
         homes in prop::collection::vec(0..HALLS, 0..3),
         tried in prop::collection::vec(0..SERVERS, 0..3),
         (prefix, seed) in any::<(u64, u64)>(),
     ) {
         let mut table = table(&evacuated);
-        for (row, held) in table.servers.iter_mut().zip(&helds) {
-            row.listed.cold_until = if *held == Held::Cold { NOW + 900 } else { 0 };
+        for (row, condition) in table.servers.iter_mut().zip(&conditions) {
+            row.listed.cold_until = if *condition == Condition::Cold { NOW + 900 } else { 0 };
         }
         let mut router = Router::default();
         router.adopt(&table);
-        for (n, held) in helds.iter().enumerate() {
-            hold(&mut router, n, *held);
+        for (n, condition) in conditions.iter().enumerate() {
+            apply(&mut router, n, *condition);
         }
-        // Another table changes nothing of it.
+        // Adopting the same table again keeps all conditions.
         router.adopt(&table);
         let tried: Vec<Name> = tried.iter().map(|n| start(*n).name).collect();
         let regions: Vec<Name> =
@@ -101,7 +101,7 @@
             pool: "m", prefix, prompt_tokens: 0, hour: 0, seed, tried: &tried,
             homes: Homes { route: &regions, workspace: &[] },
         };
-        let may = |n: usize| {
+        let may_serve = |n: usize| {
             let hall = n % HALLS;
             let is_home = homes.is_empty() || homes.contains(&hall);
             !evacuated[hall] && is_home && !tried.contains(&start(n).name)
@@ -109,19 +109,23 @@
         match router.choose(NOW, &request) {
             Ok(choice) => {
                 let n: usize = choice.server.as_str()[1..].parse().expect("a number");
-                prop_assert!(may(n));
-                // At most half of a pool is ejected, so that one that failed may be left in it.
-                let is_held = !matches!(helds[n], Held::Nothing | Held::Ejected);
-                prop_assert!(!is_held, "{:?}", helds[n]);
+                prop_assert!(may_serve(n));
+                // At most half of a pool is ejected, so a server that failed may still be in use.
+                let is_unavailable =
+                    !matches!(conditions[n], Condition::Available | Condition::Ejected);
+                prop_assert!(!is_unavailable, "{:?}", conditions[n]);
                 prop_assert!(router.check_open(NOW, &choice.start()).is_ok());
             }
             Err(why) => {
-                let free = (0..SERVERS).filter(|n| may(*n) && helds[*n] == Held::Nothing).count();
-                prop_assert_eq!(free, 0);
-                let rests = (0..SERVERS).filter(|n| may(*n)).filter_map(|n| match helds[n] {
-                    Held::Resting(rest_ms) => Some(rest_ms),
-                    _ => None,
-                });
+                let available = (0..SERVERS)
+                    .filter(|n| may_serve(*n) && conditions[*n] == Condition::Available)
+                    .count();
+                prop_assert_eq!(available, 0);
+                let rests =
+                    (0..SERVERS).filter(|n| may_serve(*n)).filter_map(|n| match conditions[n] {
+                        Condition::Resting(rest_ms) => Some(rest_ms),
+                        _ => None,
+                    });
                 if let NoServer::OnlyResting(resting) = why {
                     prop_assert_eq!(Some(resting.first_ms), rests.clone().min());
                     prop_assert_eq!(resting.servers, rests.count());
