--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -48,6 +48,7 @@
         self.chunks += 1;
     }
 
+    /// Returns the bytes on the link, with packet headers.
     fn cost(self) -> f64 {
         self.bytes as f64 + self.chunks as f64 * CHUNK_OVERHEAD_BYTES
     }
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -135,19 +135,19 @@
     }
 
     /// Returns whether this instance of a server is the one in the table.
-    pub fn is_current_start(&self, name: &Name, start: Millis) -> bool {
-        self.index_of_start(name, start).is_some()
+    pub fn is_current_start(&self, name: &Name, started_ms: Millis) -> bool {
+        self.index_of_instance(name, started_ms).is_some()
     }
 
     /// Returns whether this instance of a server is the one in the table and not leaving.
-    pub fn is_current_and_staying(&self, now: Millis, name: &Name, start: Millis) -> bool {
-        let index = self.index_of_start(name, start);
+    pub fn is_current_and_staying(&self, now: Millis, name: &Name, started_ms: Millis) -> bool {
+        let index = self.index_of_instance(name, started_ms);
         index.is_some_and(|index| !self.servers[index].is_leaving(now))
     }
 
     /// Records that this instance of a server refused a request because it is leaving.
-    pub fn record_leaving_refusal(&mut self, now: Millis, name: &Name, start: Millis) {
-        if self.index_of_start(name, start).is_none() {
+    pub fn record_leaving_refusal(&mut self, now: Millis, name: &Name, started_ms: Millis) {
+        if self.index_of_instance(name, started_ms).is_none() {
             return;
         }
         self.change_load(name, |view| view.leaving_until = now + LEAVING_REPORT_TTL_MS);
@@ -156,7 +156,7 @@
     /// Sets the limit, in requests per second from all daemons together, that this instance of
     /// a server has announced; `None` when it announces no limit any more.
     pub fn set_rate_limit(&mut self, now: Millis, server: &ServerStart, per_second: Option<f64>) {
-        let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
+        let Some(index) = self.index_of_instance(&server.name, server.started_ms) else { return };
         let view = &mut self.servers[index];
         if view.limit_per_s.is_some() && per_second.is_none() {
             view.lifted_at = Some(now);
@@ -168,7 +168,7 @@
     /// Stops sending to this instance of a server until `until`, because of its limit of
     /// `per_second` requests from all daemons together.
     pub fn block_for_rate_limit(&mut self, server: &ServerStart, per_second: f64, until: Millis) {
-        let Some(index) = self.index_of_start(&server.name, server.started_ms) else { return };
+        let Some(index) = self.index_of_instance(&server.name, server.started_ms) else { return };
         self.servers[index].limit_per_s = Some(per_second);
         self.servers[index].no_permit_until = until;
     }
@@ -185,8 +185,8 @@
 
     /// Records that a request with a prompt of this length was sent to this instance of a
     /// server; 0 for a request without a prompt.
-    pub fn record_sent(&mut self, name: &Name, start: Millis, prompt: Tokens) {
-        let Some(index) = self.index_of_start(name, start) else { return };
+    pub fn record_sent(&mut self, name: &Name, started_ms: Millis, prompt: Tokens) {
+        let Some(index) = self.index_of_instance(name, started_ms) else { return };
         self.change_load(name, |view| {
             view.in_flight += 1;
             view.unread += prompt;
@@ -200,8 +200,8 @@
 
     /// Records that this instance of a server has read a prompt of this length, or that the
     /// request was abandoned.
-    pub fn record_prompt_read(&mut self, name: &Name, start: Millis, prompt: Tokens) {
-        if self.index_of_start(name, start).is_none() {
+    pub fn record_prompt_read(&mut self, name: &Name, started_ms: Millis, prompt: Tokens) {
+        if self.index_of_instance(name, started_ms).is_none() {
             return;
         }
         self.change_load(name, |view| view.unread = view.unread.saturating_sub(prompt));
@@ -209,8 +209,8 @@
 
     /// Records that a request to this instance of a server has ended. Failures in a row eject
     /// the server for a time that doubles with each ejection.
-    pub fn record_ended(&mut self, now: Millis, name: &Name, start: Millis, succeeded: bool) {
-        let Some(index) = self.index_of_start(name, start) else { return };
+    pub fn record_ended(&mut self, now: Millis, name: &Name, started_ms: Millis, succeeded: bool) {
+        let Some(index) = self.index_of_instance(name, started_ms) else { return };
         // `may_eject` visits all servers of the pool, so it is called only when needed.
         let is_due = !succeeded && self.servers[index].failures + 1 >= FAILURES_TO_EJECT;
         let may_eject = is_due && self.may_eject(now, index);
@@ -269,7 +269,7 @@
             self.subtract_unread(part);
         }
         for part in &report.unread {
-            if self.index_of_start(&part.server, part.started_ms).is_none() {
+            if self.index_of_instance(&part.server, part.started_ms).is_none() {
                 continue;
             }
             self.change_load(&part.server, |view| view.unread_elsewhere += part.tokens);
@@ -283,8 +283,9 @@
         }
     }
 
+    /// Subtracts a replaced or expired report entry from the load of its server.
     fn subtract_unread(&mut self, part: &UnreadTokens) {
-        if self.index_of_start(&part.server, part.started_ms).is_none() {
+        if self.index_of_instance(&part.server, part.started_ms).is_none() {
             return;
         }
         let reduce = |tokens: Tokens| tokens.saturating_sub(part.tokens);
@@ -294,8 +295,8 @@
     }
 
     /// Records the pace of a stream from this instance of a server, once it has ended.
-    pub fn record_stream_pace(&mut self, name: &Name, start: Millis, pace: StreamPace) {
-        let Some(index) = self.index_of_start(name, start) else { return };
+    pub fn record_stream_pace(&mut self, name: &Name, started_ms: Millis, pace: StreamPace) {
+        let Some(index) = self.index_of_instance(name, started_ms) else { return };
         self.change_pace(index, pace.event_ms);
         for (name, _) in &self.pools_of_server[index] {
             let Some(pool) = self.pools.get(name) else { continue };
@@ -314,12 +315,13 @@
     /// Merges server paces received from a peer.
     pub fn merge_paces(&mut self, paces: &[ServerPace]) {
         for pace in paces {
-            if let Some(index) = self.index_of_start(&pace.server, pace.started_ms) {
+            if let Some(index) = self.index_of_instance(&pace.server, pace.started_ms) {
                 self.change_pace(index, pace.event_ms());
             }
         }
     }
 
+    /// Adds a sample to a server's event interval and updates the means of its pools.
     fn change_pace(&mut self, index: usize, event_ms: f64) {
         let before = self.servers[index].event_ms;
         let after = Some(mean(before.unwrap_or(0.0), event_ms));
@@ -333,11 +335,12 @@
 
     /// Returns the index of this instance of a server, or `None` when the table has another
     /// one or none.
-    fn index_of_start(&self, name: &Name, start: Millis) -> Option<usize> {
+    fn index_of_instance(&self, name: &Name, started_ms: Millis) -> Option<usize> {
         let index = *self.by_name.get(name)? as usize;
-        (self.servers[index].started_ms == start).then_some(index)
+        (self.servers[index].started_ms == started_ms).then_some(index)
     }
 
+    /// Changes the view of a server and updates the load totals of its halls.
     fn change_load(&mut self, name: &Name, change: impl FnOnce(&mut ServerView)) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let before = self.servers[index].total_load();
@@ -350,6 +353,7 @@
         }
     }
 
+    /// Rebuilds all pools from the table and the current views.
     fn rebuild_pools(&mut self, table: &Table) {
         self.pools.clear();
         self.pools_of_server = vec![Vec::new(); self.servers.len()];
@@ -390,6 +394,7 @@
         }
     }
 
+    /// Adds a server to a pool, unless its weight is 0.
     fn add_to_pool(&mut self, table: &Table, name: &Name, index: usize, row: &Server) {
         if row.weight == 0.0 {
             return;
--- a/crates/core/src/router/choose.rs
+++ b/crates/core/src/router/choose.rs
@@ -8,7 +8,8 @@
 use crate::table::HOURS;
 use crate::{Millis, Name, Tokens};
 
-/// Requests that a server may have above its load bound, so that idle halls keep prefix affinity.
+/// Requests that a server may have above its share of the hall's load, so that idle halls keep
+/// prefix affinity.
 const SLACK_REQUESTS: f64 = 4.0;
 
 /// Servers probed along the ring before any usable one is taken.
@@ -23,11 +24,11 @@
     NoneUsable,
     /// All halls of the pool are evacuated or outside the request's home regions.
     NoHall,
-    /// All other servers are cold; the first of them is warm after this many milliseconds.
+    /// All remaining servers are cold; the first of them is warm after this many milliseconds.
     OnlyCold(Millis),
-    /// All other servers that are not cold have reached the limits that they announced.
+    /// All remaining servers that are not cold have reached the limits that they announced.
     OnlyLimited(AtLimit),
-    /// All other servers that are not cold have asked this daemon for rest.
+    /// All remaining servers that are not cold have asked this daemon for rest.
     OnlyResting(Resting),
 }
 
@@ -101,7 +102,7 @@
     pub prompt_tokens: Tokens,
     /// Hour of the day, UTC.
     pub hour: usize,
-    /// A random number.
+    /// Random number, by which slow start and the last fallback select.
     pub seed: u64,
     /// Servers that this request has tried already.
     pub tried: &'a [Name],
@@ -252,6 +253,7 @@
         halls.into_iter().map(|(_, _, hall)| hall).collect()
     }
 
+    /// Returns the hall of a server, if the server is in the table.
     fn hall_of(&self, server: &Name) -> Option<&Name> {
         let index = self.by_name.get(server)?;
         self.servers.get(*index as usize).map(|view| &view.hall)
--- a/crates/core/src/router/load.rs
+++ b/crates/core/src/router/load.rs
@@ -1,6 +1,6 @@
 //! Load of a server in two dimensions: requests, and prompt tokens not read yet.
 
-/// Highest load of a server, as a multiple of its hall's mean load.
+/// Highest load of a server without slack, as a multiple of its hall's mean load.
 const MAX_LOAD_FACTOR: f64 = 1.25;
 
 /// Load of one server, or of all servers of a hall together.
--- a/crates/core/src/router/pool.rs
+++ b/crates/core/src/router/pool.rs
@@ -46,6 +46,8 @@
 }
 
 impl HallPool {
+    /// Creates the hall's part of a pool, without servers. A hall without a row in the table has
+    /// weight 1, no region and is open.
     pub(super) fn new(table: &Table, hall: &Name) -> Self {
         let row = table.halls.iter().find(|row| row.name == *hall);
         let mut weights = [row.map_or(1.0, |row| row.weight); HOURS];
--- a/crates/core/src/router/prefill.rs
+++ b/crates/core/src/router/prefill.rs
@@ -24,10 +24,10 @@
 
 /// Multiple of the pool's mean event interval above which a server counts as slower.
 /// The speeds of users' servers are equal or differ by a factor of 1.3; concurrent streams
-/// change the interval by about 0.1.
+/// account for about 0.1.
 const SLOW_SERVER_FACTOR: f64 = 1.08;
 
-/// Unread tokens that a server may have above its load bound, in mean prompts. With 4
+/// Unread tokens that a server may have above its share, in mean prompts. With 4
 /// instead of 1.5, a tenth more of the long prompts were late, but 6 to 10 % less of the
 /// shared prefixes was read again (days with faults of two deployments, three seeds).
 const UNREAD_SLACK_PROMPTS: f64 = 1.5;
@@ -90,6 +90,7 @@
         self.servers = self.servers + u32::from(after.is_some()) - u32::from(before.is_some());
     }
 
+    /// Returns whether the server's event interval is above the mean by [`SLOW_SERVER_FACTOR`].
     fn is_slower(&self, view: &ServerView) -> bool {
         let mean_ms = self.sum_ms / f64::from(self.servers.max(1));
         view.event_ms.is_some_and(|event_ms| event_ms > mean_ms * SLOW_SERVER_FACTOR)
@@ -131,7 +132,7 @@
         pause > goal as f64 && mean.is_slower(view)
     }
 
-    /// Returns the unread tokens that a server may have above its load bound.
+    /// Returns the unread tokens that a server may have above its share.
     pub(super) fn unread_slack(&self) -> f64 {
         self.mean_prompt * UNREAD_SLACK_PROMPTS
     }
--- a/crates/core/src/router/status.rs
+++ b/crates/core/src/router/status.rs
@@ -69,6 +69,7 @@
         }
     }
 
+    /// Returns the state, its source, and when it ends, where known.
     fn availability(&self, now: Millis) -> (Availability, &'static str, Option<Millis>) {
         if self.said_leaving {
             (Availability::Leaving, "its own answers", None)
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -86,6 +86,7 @@
 }
 
 impl ServerView {
+    /// Creates the view of a server of the table, without load.
     pub(super) fn new(row: &Server) -> Self {
         ServerView {
             name: row.name.clone(),
