--- a/crates/core/src/retry_budget.rs
+++ b/crates/core/src/retry_budget.rs
@@ -1,35 +1,35 @@
-//! The part of the fleet's retries that one daemon may spend.
+//! One daemon's part of the fleet's retry budget.
 //!
-//! A service may get, in any window, so many repeats: a share of its requests
-//! and some more. Each daemon spends the share on its own requests, and an
-//! equal part of the rest, so that no two have to agree.
+//! In any window a service may get a limited number of retries: a ratio of its requests
+//! plus a constant. Each daemon applies the ratio to its own requests and uses an equal
+//! part of the constant, so daemons need not coordinate.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::{Millis, Name};
 
-/// Part of the allowance that is spent: windows of the daemons and of whoever
-/// counts do not begin together, and daemons may join or leave meanwhile.
-const USED_PART: f64 = 0.6;
+/// Fraction of the allowance that is used: the windows of the daemons and of an outside
+/// observer do not begin together, and daemons may join or leave during a window.
+const USABLE_FRACTION: f64 = 0.6;
 
-/// What the fleet may spend on repeats.
+/// Retries that the fleet may send to each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request of the same service, 0 to 1.
+    /// Retries for each request of the same service, 0 to 1.
     pub ratio: f64,
-    /// Repeats beyond that in a window, for the fleet as a whole.
+    /// Further retries in a window, for the whole fleet.
     pub extra: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: Millis,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
-/// Repeats of one daemon, by service.
+/// Retry budget of one daemon, by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -37,35 +37,35 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates an unused budget.
     pub fn new(allowance: Allowance) -> Self {
         RetryBudget { allowance, services: HashMap::new() }
     }
 
-    /// Puts another allowance in force; what is counted stays.
+    /// Replaces the allowance; requests and retries counted so far are kept.
     pub fn set_allowance(&mut self, allowance: Allowance) {
         self.allowance = allowance;
     }
 
-    /// Takes in a request for `service`.
-    pub fn request(&mut self, service: &Name, now: Millis) {
+    /// Records a request for `service`.
+    pub fn record_request(&mut self, service: &Name, now: Millis) {
         let window_ms = self.allowance.window_ms;
         let counts = self.counts(service);
         counts.requests.push_back(now);
-        forget(&mut counts.requests, now, window_ms);
+        expire(&mut counts.requests, now, window_ms);
     }
 
-    /// Whether one more repeat may go to `service`; it is counted then.
-    /// `daemons` share the allowance.
-    pub fn repeat(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
+    /// Returns whether one more retry may be sent to `service`, and counts it if so. `daemons` is
+    /// the number of daemons that share the allowance.
+    pub fn try_retry(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
         let Allowance { ratio, extra, window_ms } = self.allowance;
         let counts = self.counts(service);
-        forget(&mut counts.requests, now, window_ms);
-        forget(&mut counts.repeats, now, window_ms);
-        let mine = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
-        let allowed = (counts.repeats.len() as f64) < mine * USED_PART;
+        expire(&mut counts.requests, now, window_ms);
+        expire(&mut counts.retries, now, window_ms);
+        let allowance_here = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
+        let allowed = (counts.retries.len() as f64) < allowance_here * USABLE_FRACTION;
         if allowed {
-            counts.repeats.push_back(now);
+            counts.retries.push_back(now);
         }
         allowed
     }
@@ -75,7 +75,8 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
+/// Removes the times that are outside the window ending at `now`.
+fn expire(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
     while times.front().is_some_and(|at| at + window_ms <= now) {
         times.pop_front();
     }
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -109,27 +109,33 @@
     let (mut router, name) = (router_with_engine(), Name::from("a"));
     // The first response may arrive before the first load report.
     router.observe_leaving(1_000, &start("a", 0));
-    router.report(2_000, &name, report(70));
+    router.record_load_report(2_000, &name, report(70));
     assert_eq!(router.check_open(2_000, &start("a", 70)), Err(Closed::Leaving));
     assert_eq!(router.check_open(2_000, &start("a", 0)), Err(Closed::Leaving));
-    router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a report without leaving changes nothing");
-    router.report(4_000, &name, report(90));
+    router.record_load_report(3_000, &name, report(70));
+    assert!(
+        !router.is_current_and_staying(3_000, &name, 0),
+        "a report without leaving changes nothing"
+    );
+    router.record_load_report(4_000, &name, report(90));
     assert_eq!(router.check_open(4_000, &start("a", 0)), Ok(()));
-    assert!(router.is_staying(4_000, &name, 0));
+    assert!(router.is_current_and_staying(4_000, &name, 0));
 }
 
 #[test]
 fn leaving_is_kept_when_a_server_is_removed_from_the_table_and_added_again() {
     let (mut router, name) = (router_with_engine(), Name::from("a"));
-    router.report(1_000, &name, report(70));
+    router.record_load_report(1_000, &name, report(70));
     router.observe_leaving(2_000, &start("a", 70));
     let rows = json!({"servers": []});
     let empty: Table = serde_json::from_value(rows).expect("a table");
     router.adopt(&empty);
     router.adopt(&Table { servers: table_of(&router_with_engine()), ..empty });
-    router.report(3_000, &name, report(70));
-    assert!(!router.is_staying(3_000, &name, 0), "a lagging list restores no leaving start");
+    router.record_load_report(3_000, &name, report(70));
+    assert!(
+        !router.is_current_and_staying(3_000, &name, 0),
+        "a lagging list restores no leaving start"
+    );
 }
 
 fn table_of(router: &Router) -> Vec<Server> {
