--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -75,7 +75,8 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let terms = DrawTerms { tokens: DEMAND_PER_S * BUDGET_DURATION_S, ..common::terms(0, DAEMONS) };
+        let terms =
+            DrawTerms { tokens: DEMAND_PER_S * BUDGET_DURATION_S, ..common::terms(0, DAEMONS) };
         let rng = StdRng::seed_from_u64(seed);
         let open = Vec::new();
         let mut world = World::new(terms);
