--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -10,12 +10,15 @@
 use bankcove_bench::routing_world::table;
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::ServerStart;
-use bankcove_core::hints::{HintFact, LeavingStarts};
-use bankcove_core::holder::{Draw, Holder, Keeps, Terms};
-use bankcove_core::limits::{ISSUERS, Issuer, LimitBook, LimitWord, Place, RequestRate, Wish};
+use bankcove_core::hints::{HintFact, LeavingServers};
+use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope};
+use bankcove_core::limits::{
+    ISSUERS_PER_SERVER, Issuer, IssuerPosition, LimitHeader, LimitTracker, PermitRequest,
+    RequestRate,
+};
 use bankcove_core::members::{Heartbeat, Host, HostRole, HostState, Members};
 use bankcove_core::owner::{Event as OwnerEvent, Owner, Request};
-use bankcove_core::reqlog::{Entry, Event, RequestLog, Segment};
+use bankcove_core::request_log::{Entry, Event, RequestLog, Segment};
 use bankcove_core::router::Router;
 use bankcove_core::shard::Shard;
 use bankcove_core::table::Table;
@@ -117,14 +120,14 @@
     let mut shard = Shard::default();
     for n in 0..budgets {
         let ledger = shard.ledger(&Name::from(format!("budget-{n}")));
-        ledger.adopt_row(1_000_000_000, 1);
+        ledger.update_row(1_000_000_000, 1);
         for holder in 0..holders {
             let mut draw = draw(&Name::from(format!("budget-{n}")));
             draw.holder = Incarnation(holder * 7_919);
             draw.witnesses = vec![witness(1), witness(2)];
             ledger.grant(draw.holder, "10.12.34.56:8081", 100_000);
             ledger.open(draw.holder, 10_000);
-            ledger.name_witnesses(&draw);
+            ledger.record_witnesses(&draw);
         }
     }
     shard
@@ -142,19 +145,19 @@
 
 fn members(count: usize) -> Members {
     let mut members = Members::new(Name::from("me"));
-    members.host_list(&(0..count).map(host).collect::<Vec<_>>());
+    members.apply_host_list(&(0..count).map(host).collect::<Vec<_>>());
     members
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> DrawTerms {
+    DrawTerms {
         tokens: 1_000_000,
         version: 1,
         horizon_s: 10.0,
         share_divisor: 4,
         held_ahead: 0.5,
         kept_for_others: 0.0,
-        keeps: Keeps::ForItself,
+        prefetch: PrefetchScope::ForItself,
         daemons: 1_300,
     }
 }
@@ -163,26 +166,26 @@
     let mut holder = Holder::new(Incarnation(1));
     for n in 0..budgets {
         let name = Name::from(format!("budget-{n}"));
-        holder.granted(&name, 1_000);
-        holder.witnesses_recorded(&name, &[witness(1), witness(2)]);
+        holder.record_granted(&name, 1_000);
+        holder.set_recorded_witnesses(&name, &[witness(1), witness(2)]);
     }
     holder
 }
 
 /// A book of so many servers that name a limit.
-fn limit_book(servers: usize) -> LimitBook {
-    let mut book = LimitBook::default();
+fn limit_book(servers: usize) -> LimitTracker {
+    let mut book = LimitTracker::default();
     let rate = RequestRate::new(1.2).expect("it is a rate");
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
-        book.heard(10, &server, 0, &LimitWord::Named(rate));
+        book.record_response(10, &server, 0, &LimitHeader::Limit(rate));
     }
     book
 }
 
 /// So many starts of servers that leave.
-fn leaving(servers: usize) -> LeavingStarts {
-    let mut leaving = LeavingStarts::default();
+fn leaving(servers: usize) -> LeavingServers {
+    let mut leaving = LeavingServers::default();
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
         leaving.add(10, &server, 0);
@@ -215,7 +218,7 @@
 fn request_log(requests: usize) -> RequestLog {
     let mut log = RequestLog::new(0);
     log.handle(0, Event::Submitted(1, Entry::Bill(bill(requests + 1))));
-    log.handle(0, Event::Newest(None));
+    log.handle(0, Event::NewestFound(None));
     log.handle(0, Event::SegmentRead(0, Some(segment(requests))));
     log
 }
@@ -227,7 +230,7 @@
     let shard = shard(budgets, holders);
     let name = Name::from("budget-0");
     let mut owner = Owner::new(Incarnation(1), "10.12.34.56:8081", 0);
-    owner.handle(0, OwnerEvent::Asked(0, Request::Draw(draw(&name))));
+    owner.handle(0, OwnerEvent::Requested(0, Request::Draw(draw(&name))));
     owner.handle(0, OwnerEvent::Loaded(1, shard));
     owner.handle(0, OwnerEvent::Written(2));
     let started = Instant::now();
@@ -236,7 +239,7 @@
         let mut draw = draw(&name);
         // All that was granted is open and used: each draw takes a write.
         draw.opened = 1 << 40;
-        owner.handle(now, OwnerEvent::Asked(u64::from(round), Request::Draw(draw)));
+        owner.handle(now, OwnerEvent::Requested(u64::from(round), Request::Draw(draw)));
         owner.handle(now, OwnerEvent::Written(now + 2));
     }
     started.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
@@ -293,7 +296,7 @@
     println!("{:<44} {:>9.2} B", "limit of a server, told", wire_bytes(&fact));
     let leaves = HintFact::Leaving(leaving(1).facts(0, 1, 0).remove(0));
     println!("{:<44} {:>9.2} B", "server that leaves, told", wire_bytes(&leaves));
-    let wish = Wish { from: Incarnation(7_919), permits: 1, urgency: 0 };
+    let wish = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
     let asked = wire_bytes(&(fact, wish));
     let answer = PermitAnswer::none(278);
     println!("{:<44} {:>9.2} B", "permit asked for and answered", asked + wire_bytes(&answer));
@@ -315,7 +318,7 @@
         for peer in (0..n).map(host) {
             let mut beat = heartbeat();
             beat.name = peer.name;
-            members.heard(0, &beat);
+            members.record_heartbeat(0, &beat);
         }
         let started = Instant::now();
         for key in 0..ROUNDS {
@@ -327,10 +330,10 @@
         const ROUNDS: u64 = 10_000;
         let mut book = limit_book(n);
         let server = ServerStart { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
-        let word = LimitWord::Named(RequestRate::new(1.2).expect("it is a rate"));
+        let word = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(book.heard(100 + now, &server, 50 + now, &word));
+            std::hint::black_box(book.record_response(100 + now, &server, 50 + now, &word));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
     });
@@ -342,9 +345,9 @@
         let limit = RequestRate::new(1.2).expect("it is a rate");
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(members.owners_listed(server.key(), ISSUERS));
-            let wish = Wish { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
-            let place = Place { rank: 0, since: 0 };
+            std::hint::black_box(members.owners_including_silent(server.key(), ISSUERS_PER_SERVER));
+            let wish = PermitRequest { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
+            let place = IssuerPosition { rank: 0, since: 0 };
             std::hint::black_box(issuer.issue(10_000 + now, &server, limit, place, wish));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
--- /dev/null
+++ b/crates/core/src/crashes/history.rs
@@ -0,0 +1,207 @@
+//! Recent crashes, indexed by server and by request, and the evidence that they are against a
+//! request.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use super::facts::{Crash, ServerStart};
+use crate::{Fingerprint, Millis};
+
+/// Retention of crashes, in milliseconds: long enough to block a caller that retries every minute
+/// at its third crash.
+const RETENTION_MS: Millis = 300_000;
+
+/// Maximum age of crashes that are sent to peers, in milliseconds. It is below the retention, so
+/// that a crash that one daemon has just dropped is not sent back by another.
+const MAX_REPORTED_AGE_MS: Millis = RETENTION_MS - 10_000;
+
+/// Maximum number of crashes: about four minutes at one crash per second.
+const MAX_CRASHES: usize = 256;
+
+/// Maximum number of requests per crash: twice what an engine runs concurrently.
+const MAX_REQUESTS_PER_CRASH: usize = 128;
+
+/// Crashes within this time of the first one, in milliseconds, may have a common cause: hosts
+/// detect the crashes of a rack within about 10 ms, and a message between hosts takes about
+/// 10 ms more.
+const INCIDENT_WINDOW_MS: Millis = 100;
+
+/// Crashes that count against a request.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Evidence<'a> {
+    /// Crashed servers, in the order of their crashes.
+    pub(super) servers: Vec<&'a ServerStart>,
+    /// Number of incidents, that is groups of nearly simultaneous crashes.
+    pub(super) incidents: usize,
+}
+
+/// Time of a crash and the requests that its server was running.
+#[derive(Debug, Clone, Default)]
+struct CrashRecord {
+    at: Millis,
+    running: BTreeSet<Fingerprint>,
+}
+
+/// Recent crashes, bounded in age and number.
+#[derive(Debug, Clone, Default)]
+pub(super) struct CrashHistory {
+    crashes: BTreeMap<ServerStart, CrashRecord>,
+    by_request: HashMap<Fingerprint, BTreeSet<ServerStart>>,
+    dropped: u64,
+}
+
+impl CrashHistory {
+    pub(super) fn len(&self) -> usize {
+        self.crashes.len()
+    }
+
+    /// Returns the number of facts dropped because of the size bounds.
+    pub(super) fn dropped(&self) -> u64 {
+        self.dropped
+    }
+
+    /// Whether this server start is known to have crashed.
+    pub(super) fn contains(&self, server: &ServerStart) -> bool {
+        self.crashes.contains_key(server)
+    }
+
+    /// Returns the number of crashes of servers that were running this request, whatever their
+    /// cause.
+    pub(super) fn crash_count(&self, request: Fingerprint) -> usize {
+        self.by_request.get(&request).map_or(0, BTreeSet::len)
+    }
+
+    /// Returns the requests that this server start was running when it crashed.
+    pub(super) fn requests_of(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
+        self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
+    }
+
+    /// Returns the requests that share a crash with this one, and this one.
+    pub(super) fn crashed_with(&self, request: Fingerprint) -> impl Iterator<Item = Fingerprint> {
+        let servers = self.by_request.get(&request).into_iter().flatten();
+        servers.flat_map(|server| self.requests_of(server))
+    }
+
+    /// Adds a crash, or requests to a known crash; returns the requests that are new for it.
+    pub(super) fn add(
+        &mut self,
+        at: Millis,
+        server: &ServerStart,
+        running: impl IntoIterator<Item = Fingerprint>,
+    ) -> Vec<Fingerprint> {
+        let crash = self
+            .crashes
+            .entry(server.clone())
+            .or_insert_with(|| CrashRecord { at, running: BTreeSet::new() });
+        let mut new = Vec::new();
+        for request in running {
+            if crash.running.len() >= MAX_REQUESTS_PER_CRASH && !crash.running.contains(&request) {
+                self.dropped += 1;
+                continue;
+            }
+            if crash.running.insert(request) {
+                self.by_request.entry(request).or_default().insert(server.clone());
+                new.push(request);
+            }
+        }
+        self.evict_oldest();
+        new
+    }
+
+    /// Drops crashes that are older than the retention.
+    pub(super) fn forget_old(&mut self, now: Millis) {
+        let is_expired = |crash: &CrashRecord| now.saturating_sub(crash.at) >= RETENTION_MS;
+        let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
+        let expired: Vec<ServerStart> = expired.map(|(server, _)| server.clone()).collect();
+        expired.iter().for_each(|server| self.forget(server));
+    }
+
+    /// Whether a crash of this age is sent to peers.
+    pub(super) fn is_reportable(age_ms: Millis) -> bool {
+        age_ms < MAX_REPORTED_AGE_MS
+    }
+
+    /// Returns the crashes that are sent to peers.
+    pub(super) fn reportable(&self, now: Millis) -> impl Iterator<Item = Crash> {
+        let crashes = self.crashes.iter().map(move |(server, crash)| Crash {
+            server: server.clone(),
+            age_ms: now.saturating_sub(crash.at),
+            running: crash.running.clone(),
+        });
+        crashes.filter(|crash| Self::is_reportable(crash.age_ms))
+    }
+
+    /// Returns the crashes after `since` that count against `request`, earliest first. Crashes
+    /// that another request `explains` don't count. Crashes at the same time as one of a server
+    /// that was not running `request` count once: a request with copies on several servers of a
+    /// rack that loses power has crashed none of them.
+    pub(super) fn evidence_against(
+        &self,
+        request: Fingerprint,
+        since: Option<Millis>,
+        explains: impl Fn(&Fingerprint) -> bool,
+    ) -> Evidence<'_> {
+        let servers = self.by_request.get(&request).into_iter().flatten();
+        let crashes = servers.filter_map(|server| self.crashes.get_key_value(server));
+        let mut crashes: Vec<(&ServerStart, &CrashRecord)> = crashes
+            .filter(|(_, crash)| since.is_none_or(|since| crash.at > since))
+            .filter(|(_, crash)| {
+                !crash.running.iter().any(|other| *other != request && explains(other))
+            })
+            .collect();
+        crashes.sort_by_key(|(_, crash)| crash.at);
+        crashes.dedup_by(|(_, later), (_, first)| self.has_common_cause(request, first, later));
+        let mut incidents = 0;
+        let mut incident_start = None;
+        for (_, crash) in &crashes {
+            if incident_start
+                .is_none_or(|incident_start| crash.at - incident_start > INCIDENT_WINDOW_MS)
+            {
+                incident_start = Some(crash.at);
+                incidents += 1;
+            }
+        }
+        Evidence { servers: crashes.into_iter().map(|(server, _)| server).collect(), incidents }
+    }
+
+    /// Whether a server that was running the request crashed after `from` and up to `to`.
+    pub(super) fn crashed_between(&self, request: Fingerprint, from: Millis, to: Millis) -> bool {
+        let servers = self.by_request.get(&request).into_iter().flatten();
+        let mut crashes = servers.filter_map(|server| self.crashes.get(server));
+        crashes.any(|crash| crash.at > from && crash.at <= to)
+    }
+
+    /// Whether both crashes happened at the same time as the crash of a server that was not
+    /// running `request`.
+    fn has_common_cause(
+        &self,
+        request: Fingerprint,
+        first: &CrashRecord,
+        later: &CrashRecord,
+    ) -> bool {
+        let is_near = |crash: &CrashRecord| crash.at.abs_diff(first.at) <= INCIDENT_WINDOW_MS;
+        let is_unrelated =
+            |crash: &CrashRecord| is_near(crash) && !crash.running.contains(&request);
+        is_near(later) && self.crashes.values().any(is_unrelated)
+    }
+
+    /// Drops the oldest crashes while there are too many.
+    fn evict_oldest(&mut self) {
+        while self.crashes.len() > MAX_CRASHES {
+            let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
+            let Some(oldest) = oldest.map(|(server, _)| server.clone()) else { return };
+            self.forget(&oldest);
+            self.dropped += 1;
+        }
+    }
+
+    fn forget(&mut self, server: &ServerStart) {
+        let Some(crash) = self.crashes.remove(server) else { return };
+        for request in &crash.running {
+            let Some(servers) = self.by_request.get_mut(request) else { continue };
+            servers.remove(server);
+            if servers.is_empty() {
+                self.by_request.remove(request);
+            }
+        }
+    }
+}
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use bankcove_core::crashes::{Place, Verdict};
+use bankcove_core::crashes::{Placement, Verdict};
 use bankcove_core::lifecycle::{Admitted, Attempt, Dispatched, NotRun};
-use bankcove_core::reqlog::Entry;
-use bankcove_core::router::{Choice, Homes, NoServer, Wanted};
+use bankcove_core::request_log::Entry;
+use bankcove_core::router::{Choice, Homes, NoServer, RoutingRequest};
 use bankcove_core::table::ServerKind;
 use bankcove_core::{Fingerprint, Millis, Name, RequestHash};
 use reqwest::Response;
@@ -65,7 +65,7 @@
     api: &Api,
     need: &Need<'_>,
     tried: &[Name],
-    place: Option<Place>,
+    place: Option<Placement>,
 ) -> Result<Permit, NoServer> {
     // One that gave no permit is not chosen again for a while.
     loop {
@@ -81,9 +81,9 @@
     api: &Api,
     need: &Need,
     tried: &[Name],
-    place: Option<Place>,
+    place: Option<Placement>,
 ) -> Result<Choice, NoServer> {
-    let wanted = Wanted {
+    let wanted = RoutingRequest {
         pool: need.pool,
         prefix: place.map_or(need.prefix, |place| place.key),
         prompt_tokens: 0,
@@ -93,7 +93,7 @@
         homes: need.homes,
     };
     let rank = place.map_or(0, |place| place.rank);
-    api.requests.router.lock().choose_apart(api.requests.base.clock.now(), &wanted, rank)
+    api.requests.router.lock().choose_ranked(api.requests.base.clock.now(), &wanted, rank)
 }
 
 /// Why no server has begun to answer.
@@ -162,16 +162,20 @@
                 return Ok(Placed { attempt: dispatched, choice, res, open, fingerprint });
             }
             Err(DispatchError::NotSent(proof)) => {
-                attempt = dispatched.back_out(proof);
+                attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
             Err(DispatchError::NothingRan { proof, leaving }) => {
                 open.failed();
                 if leaving {
                     let now = api.requests.base.clock.now();
-                    api.requests.router.lock().said_leaving(now, &choice.server, choice.started_ms);
+                    api.requests.router.lock().record_leaving_refusal(
+                        now,
+                        &choice.server,
+                        choice.started_ms,
+                    );
                 }
-                attempt = dispatched.back_out(proof);
+                attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
             Err(DispatchError::Unknown) => {
@@ -250,9 +254,10 @@
     fingerprint: Fingerprint,
 ) -> Result<(Attempt<Admitted>, Option<RunApart>), Problem> {
     let verdict = api.requests.crashes.settled(Millis::MAX, || fingerprint).await;
-    let apart =
-        (verdict == Verdict::Apart).then(|| api.requests.crashes.run_apart(fingerprint)).flatten();
-    if matches!(verdict, Verdict::Free | Verdict::Suspect) || apart.is_some() {
+    let apart = (verdict == Verdict::Isolated)
+        .then(|| api.requests.crashes.run_apart(fingerprint))
+        .flatten();
+    if matches!(verdict, Verdict::Allowed | Verdict::Suspect) || apart.is_some() {
         return Ok((attempt, apart));
     }
     let not_run = give_back(api, attempt, need);
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankcove_core::holder::Draw;
-use bankcove_core::owner::{AHEAD_WAIT_MS, Reply, Request};
+use bankcove_core::owner::{PREFETCH_DELAY_MS, Reply, Request};
 use bankcove_core::table::Budget;
 use bankcove_core::{Millis, Name, Tokens};
 use futures::future::join_all;
@@ -43,18 +43,18 @@
     log_draw(budgets, budget, need, &answer.reply, now);
     let mut holder = budgets.holder();
     if let Some((owner, cumulative)) = answer.sent {
-        holder.received(&budget.name, owner, cumulative);
+        holder.record_received(&budget.name, owner, cumulative);
     }
     match answer.reply {
         Reply::Granted { granted, opened, recorded, outlook, earlier_start } => {
-            holder.told_earlier_start(&budget.name, earlier_start);
+            holder.set_earlier_start(&budget.name, earlier_start);
             if let Some(outlook) = outlook {
-                holder.known(&budget.name, outlook, now);
+                holder.set_outlook(&budget.name, outlook, now);
             }
-            holder.granted(&budget.name, granted);
-            holder.opened(&budget.name, opened);
+            holder.record_granted(&budget.name, granted);
+            holder.record_opened(&budget.name, opened);
             if recorded {
-                holder.witnesses_recorded(&budget.name, &witnesses);
+                holder.set_recorded_witnesses(&budget.name, &witnesses);
             }
             Ok(())
         }
@@ -105,7 +105,7 @@
             }
             Some(answer) => return answer,
             None => {
-                budgets.fleet.members.lock().failed(&owner.name);
+                budgets.fleet.members.lock().record_failure(&owner.name);
             }
         }
     }
@@ -116,7 +116,7 @@
 fn owner_timeout(budgets: &Budgets, request: &Request) -> Duration {
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     match request {
-        Request::Draw(draw) if draw.need == 0 => timeout + Duration::from_millis(AHEAD_WAIT_MS),
+        Request::Draw(draw) if draw.need == 0 => timeout + Duration::from_millis(PREFETCH_DELAY_MS),
         _ => timeout,
     }
 }
@@ -138,7 +138,7 @@
         match budgets.fleet.base.peers.call(&peer.address, timeout, ask).await {
             Some(OwnerAnswer { reply: Reply::StoreAway { .. }, .. }) => {}
             Some(answer) => return answer,
-            None => budgets.fleet.members.lock().failed(&peer.name),
+            None => budgets.fleet.members.lock().record_failure(&peer.name),
         }
     }
     answer
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -24,7 +24,7 @@
     if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_needed {
         return;
     }
-    let peers = budgets.fleet.members.lock().some(usize::MAX, CHOICE);
+    let peers = budgets.fleet.members.lock().sample(usize::MAX, CHOICE);
     let heir = peers.into_iter().find_map(|peer| Some((peer.incarnation?, peer)));
     let Some((incarnation, peer)) = heir else { return };
     let names: Vec<Name> = budgets.holder().accounts().keys().cloned().collect();
@@ -40,7 +40,7 @@
     receiver: Incarnation,
     peer: &Peer,
 ) -> bool {
-    let sum = budgets.holder().hand_over(budget, receiver);
+    let sum = budgets.holder().transfer_all(budget, receiver);
     let (budget, from) = (budget.clone(), budgets.fleet.base.incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     let take = |client: PeerServiceClient, cx| async move {
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -43,7 +43,7 @@
             let mut news = CrashFacts::default();
             for (at, facts) in gathered {
                 // A block that seems younger than it is would outlive the word that lifted it.
-                news.add(&facts.aged(now.saturating_sub(at)));
+                news.merge(&facts.aged(now.saturating_sub(at)));
             }
             self.tell_some(&news);
         }
@@ -51,7 +51,7 @@
 
     fn tell_some(self: &Arc<Self>, news: &CrashFacts) {
         let timeout = Duration::from_millis(self.fleet.base.cfg.limits.peer_timeout_ms);
-        let peers = self.fleet.members.lock().some(TOLD_AT_ONCE, rand::random());
+        let peers = self.fleet.members.lock().sample(TOLD_AT_ONCE, rand::random());
         for peer in peers {
             let (crashes, news) = (Arc::clone(self), news.clone());
             tokio::spawn(async move {
@@ -68,7 +68,7 @@
     /// Takes in what a peer has told.
     pub fn told(self: &Arc<Self>, facts: CrashFacts) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.told(now, facts));
+        let news = self.change(now, |book| book.merge(now, facts));
         self.take_news(&news, Origin::Told);
     }
 
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -3,13 +3,13 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
-use bankcove_core::holder::{Allotted, Ask, Holding};
-use bankcove_core::limits::{Issued, LimitFact, Wish};
+use bankcove_core::holder::{Allotted, DaemonHolding, TokenRequest};
+use bankcove_core::limits::{Issued, LimitFact, PermitRequest};
 use bankcove_core::members::{Heartbeat, Host};
 use bankcove_core::owner::{RETRY_LATER_MS, Reply, Request};
-use bankcove_core::reqlog::{Entry, Outcome};
-use bankcove_core::router::UnreadNews;
-use bankcove_core::server_list::{ListNews, ListVersion};
+use bankcove_core::request_log::{Entry, Outcome};
+use bankcove_core::router::UnreadReport;
+use bankcove_core::server_list::{ListUpdate, ListVersion};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 use serde::{Deserialize, Serialize};
 
@@ -101,12 +101,12 @@
     /// Tells of the sender and asks the same of the receiver.
     async fn heartbeat(from: Heartbeat) -> Heartbeat;
     /// Tells what the sender has sent to servers that is still to be read there.
-    async fn told_unread(news: UnreadNews);
+    async fn told_unread(news: UnreadReport);
     /// The table in force, when its revision is above this one.
     async fn table_above(revision: u64) -> Option<PackedTable>;
     /// What the receiver knows of the list of backend servers beyond this
     /// version, and its own version, when that is above this one.
-    async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListNews)>;
+    async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
     /// The platform's host list as the receiver knows it, unless its hash is
     /// this one.
     async fn hosts_unless(hash: u64) -> Option<HostsTold>;
@@ -114,10 +114,10 @@
     async fn ask_owner(request: Request) -> OwnerAnswer;
     /// Asks the receiver, as the owner of a budget's shard, for tokens that it
     /// holds itself or draws.
-    async fn allot(ask: Ask) -> AllotAnswer;
+    async fn allot(ask: TokenRequest) -> AllotAnswer;
     /// Asks the receiver for a part of what it has free, while no more can be
     /// drawn from the store.
-    async fn lend(ask: Ask) -> Allotted;
+    async fn lend(ask: TokenRequest) -> Allotted;
     /// Hands the receiver what `from`, which stops while the store is away, had free:
     /// a cumulative sum. Whether the receiver is still this start of it.
     async fn take(budget: Name, receiver: Incarnation, from: Incarnation, sum: Tokens) -> bool;
@@ -130,7 +130,7 @@
         most: Tokens,
     ) -> GiveAnswer;
     /// What the receiver holds and has spent of a budget.
-    async fn holding(budget: Name) -> Holding;
+    async fn holding(budget: Name) -> DaemonHolding;
     /// Asks the receiver as a witness to agree that `holder` opens its grant up
     /// to this cumulative sum.
     async fn open(holder: Incarnation, witness: Incarnation, budget: Name, opened: Tokens) -> bool;
@@ -148,7 +148,7 @@
     /// What the receiver knows of what servers have said; some of it, when it is much.
     async fn hint_facts() -> Vec<HintFact>;
     /// Asks the receiver for permits for the server that the sender knows this of.
-    async fn permits(fact: LimitFact, wish: Wish) -> PermitAnswer;
+    async fn permits(fact: LimitFact, wish: PermitRequest) -> PermitAnswer;
     /// Keeps a bill until the store takes it.
     async fn keep_bill(bill: Bill);
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -6,13 +6,13 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::CrashFacts;
 use bankcove_core::hints::HintFact;
-use bankcove_core::holder::{Allotted, Ask, Holding};
-use bankcove_core::limits::{LimitFact, Wish};
+use bankcove_core::holder::{Allotted, DaemonHolding, TokenRequest};
+use bankcove_core::limits::{LimitFact, PermitRequest};
 use bankcove_core::members::Heartbeat;
 use bankcove_core::owner::Request;
-use bankcove_core::reqlog::{Entry, Outcome};
-use bankcove_core::router::UnreadNews;
-use bankcove_core::server_list::{ListNews, ListVersion};
+use bankcove_core::request_log::{Entry, Outcome};
+use bankcove_core::router::UnreadReport;
+use bankcove_core::server_list::{ListUpdate, ListVersion};
 use bankcove_core::{Incarnation, Name, Tokens};
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -46,9 +46,9 @@
         self.daemon.membership.heartbeat()
     }
 
-    async fn told_unread(self, _: Context, news: UnreadNews) {
+    async fn told_unread(self, _: Context, news: UnreadReport) {
         let now = self.daemon.clock.now();
-        self.daemon.router.lock().told_unread(now, &news);
+        self.daemon.router.lock().merge_unread_report(now, &news);
     }
 
     async fn table_above(self, _: Context, revision: u64) -> Option<PackedTable> {
@@ -69,9 +69,9 @@
         self,
         _: Context,
         version: ListVersion,
-    ) -> Option<(ListVersion, ListNews)> {
+    ) -> Option<(ListVersion, ListUpdate)> {
         let now = self.daemon.clock.now();
-        self.daemon.view.servers.lock().news_above(now, version)
+        self.daemon.view.servers.lock().update_since(now, version)
     }
 
     async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostsTold> {
@@ -82,11 +82,11 @@
         owner::ask_local_owner(&self.daemon.budgets, request).await
     }
 
-    async fn allot(self, _: Context, ask: Ask) -> AllotAnswer {
+    async fn allot(self, _: Context, ask: TokenRequest) -> AllotAnswer {
         allotment::allot(&self.daemon.budgets, ask).await
     }
 
-    async fn lend(self, _: Context, ask: Ask) -> Allotted {
+    async fn lend(self, _: Context, ask: TokenRequest) -> Allotted {
         self.daemon.budgets.holder().lend(&ask)
     }
 
@@ -100,7 +100,7 @@
     ) -> bool {
         let is_me = receiver == self.daemon.incarnation;
         if is_me {
-            self.daemon.budgets.holder().received(&budget, from, sum);
+            self.daemon.budgets.holder().record_received(&budget, from, sum);
         }
         is_me
     }
@@ -120,7 +120,7 @@
         collect::give_all(&self.daemon.budgets, &budget, receiver, received, most).await
     }
 
-    async fn holding(self, _: Context, budget: Name) -> Holding {
+    async fn holding(self, _: Context, budget: Name) -> DaemonHolding {
         statement::holding(&self.daemon.budgets, &budget)
     }
 
@@ -167,7 +167,7 @@
         self.daemon.hints.facts()
     }
 
-    async fn permits(self, _: Context, fact: LimitFact, wish: Wish) -> PermitAnswer {
+    async fn permits(self, _: Context, fact: LimitFact, wish: PermitRequest) -> PermitAnswer {
         self.daemon.hints.issue(&fact, wish)
     }
 
