--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -192,7 +192,8 @@
 /// know of drains.
 fn may_use(api: &Api, server: &Name) -> bool {
     let now = api.requests.base.clock.now();
-    if !api.requests.fleet.contact.is_isolated(now, api.requests.base.cfg.limits.isolation_ms) {
+    if !api.requests.fleet.connectivity.is_isolated(now, api.requests.base.cfg.limits.isolation_ms)
+    {
         return true;
     }
     let table = api.requests.table.load();
--- a/crates/daemon/src/budget/allotment.rs
+++ b/crates/daemon/src/budget/allotment.rs
@@ -28,7 +28,7 @@
     let try_now = || budgets.holder().allot(&ask, arrived);
     let allotted = match try_now() {
         Ok(allotted) => Ok(allotted),
-        Err(_) if budgets.fleet.contact.is_store_away(arrived) => {
+        Err(_) if budgets.fleet.connectivity.is_store_away(arrived) => {
             // Known to be hopeless here: the asker turns to the next owner at once, and
             // a peer that reaches the store draws for this one meanwhile.
             budgets.holder().record_unmet(&ask);
@@ -53,7 +53,7 @@
 fn exceeded_ration(budgets: &Budgets, ask: &TokenRequest) -> Option<Tokens> {
     let demand = ask.demand?;
     let now = budgets.fleet.base.clock.now();
-    let is_away = budgets.fleet.contact.is_store_away(now);
+    let is_away = budgets.fleet.connectivity.is_store_away(now);
     let ration = budgets.holder().ration_for(&ask.budget, &demand, is_away, now);
     (demand.tokens > ration).then_some(ration)
 }
--- a/crates/daemon/src/budget/ask.rs
+++ b/crates/daemon/src/budget/ask.rs
@@ -21,7 +21,7 @@
     demand: Option<RequestDemand>,
     owner: &Peer,
 ) -> Option<Result<(), Refusal>> {
-    if budgets.fleet.contact.is_alone() {
+    if budgets.fleet.connectivity.is_cut_off_from_peers() {
         return None;
     }
     let terms = terms(budgets, budget);
--- a/crates/daemon/src/budget/borrow.rs
+++ b/crates/daemon/src/budget/borrow.rs
@@ -30,7 +30,9 @@
 /// Borrows `missing` tokens; whether all of them came.
 pub async fn borrow(budgets: &Arc<Budgets>, budget: &Budget, missing: Tokens) -> bool {
     // Sealed grants are collected by the owner.
-    if budgets.fleet.base.cfg.limits.witnesses > 0 || budgets.fleet.contact.is_alone() {
+    if budgets.fleet.base.cfg.limits.witnesses > 0
+        || budgets.fleet.connectivity.is_cut_off_from_peers()
+    {
         return false;
     }
     let lenders = budgets.fleet.members.lock().sample(LENDERS, rand::random());
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -77,7 +77,7 @@
 /// Asks the owner of the budget's shard: the first that answers of the first
 /// few in rendezvous order, else this daemon itself.
 pub async fn ask_owner(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
-    if budgets.fleet.is_small() || budgets.fleet.contact.is_alone() {
+    if budgets.fleet.is_small() || budgets.fleet.connectivity.is_cut_off_from_peers() {
         return ask_self_first(budgets, request).await;
     }
     let shard = shard_of_request(budgets, &request);
@@ -89,7 +89,7 @@
     let timeout = owner_timeout(budgets, &request);
     for owner in owners {
         let Some(owner) = owner else { break };
-        if budgets.fleet.contact.is_alone() {
+        if budgets.fleet.connectivity.is_cut_off_from_peers() {
             // Nobody answers: each further peer would only take its time.
             break;
         }
@@ -125,7 +125,9 @@
 /// that may reach it.
 async fn ask_self_first(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
     let answer = ask_local_owner(budgets, request.clone()).await;
-    if !matches!(answer.reply, Reply::StoreAway { .. }) || budgets.fleet.contact.is_alone() {
+    if !matches!(answer.reply, Reply::StoreAway { .. })
+        || budgets.fleet.connectivity.is_cut_off_from_peers()
+    {
         return answer;
     }
     let key = OWNER_KEY + u64::from(shard_of_request(budgets, &request));
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -20,7 +20,7 @@
 /// Hands all that is free to a peer, if the store is away and one is there.
 pub async fn hand_over(budgets: &Arc<Budgets>) {
     // Sealed grants are taken back by the owner.
-    let is_needed = budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now());
+    let is_needed = budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now());
     if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_needed {
         return;
     }
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -184,17 +184,17 @@
 }
 
 async fn load(budgets: Arc<Budgets>, shard: u32) -> Event {
-    if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
+    if budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
     }
     match budgets.store.read::<Shard>(Kind::Budgets, &shard_name(shard)).await {
         Ok(Some(read)) => {
-            budgets.fleet.contact.store_heard(budgets.fleet.base.clock.now());
+            budgets.fleet.connectivity.record_store_answer(budgets.fleet.base.clock.now());
             Event::Loaded(read.version, read.value)
         }
         Ok(None) => Event::Loaded(0, Shard::default()),
         Err(e) => {
-            budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
+            budgets.fleet.connectivity.record_store_failure(budgets.fleet.base.clock.now());
             slog::warn!(budgets.fleet.base.log, "budget shard not read"; "shard" => shard, "error" => %e);
             Event::StoreUnavailable
         }
@@ -202,7 +202,7 @@
 }
 
 async fn write(budgets: Arc<Budgets>, shard: u32, version: u64, value: Shard) -> Event {
-    if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
+    if budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
     }
     let outcome = budgets.store.write(Kind::Budgets, &shard_name(shard), version, &value).await;
@@ -212,7 +212,7 @@
         // The read that settles it tells whether the store is away.
         WriteOutcome::Ambiguous => Event::Ambiguous,
         WriteOutcome::NotSent => {
-            budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
+            budgets.fleet.connectivity.record_store_failure(budgets.fleet.base.clock.now());
             Event::StoreUnavailable
         }
     }
--- a/crates/daemon/src/budget/reserve.rs
+++ b/crates/daemon/src/budget/reserve.rs
@@ -114,7 +114,7 @@
         }
     }
     let is_unknown = budgets.fleet.base.cfg.limits.witnesses == 0 && budgets.fleet.size().is_none();
-    if (has_owners || is_unknown) && !budgets.fleet.contact.is_alone() {
+    if (has_owners || is_unknown) && !budgets.fleet.connectivity.is_cut_off_from_peers() {
         // Were all that get no answer to write themselves, they would stand in
         // each other's way, and in the owners'.
         return Err(Refusal::out_of_reach(RETRY_SOON_MS));
--- a/crates/daemon/src/budget/tend.rs
+++ b/crates/daemon/src/budget/tend.rs
@@ -57,7 +57,7 @@
         "running_mean_age_ms" => held.running.mean_age(now), "spent" => held.spent,
         "granted" => held.granted, "received" => held.received, "returned" => held.returned,
         "sent" => held.sent, "most" => most.join(", "),
-        "store_heard_ms" => budgets.fleet.contact.store_age(now));
+        "store_heard_ms" => budgets.fleet.connectivity.store_age(now));
 }
 
 /// Waits until a planned stop begins, or enters its next phase; in the last one for
@@ -76,7 +76,7 @@
     let terms = terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let owner = owners_to_ask(budgets, budget).into_iter().next();
-    if owner.is_none() && budgets.fleet.contact.is_store_away(now) {
+    if owner.is_none() && budgets.fleet.connectivity.is_store_away(now) {
         // Debited and not told, it would serve nobody until the store is back.
         return;
     }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -26,7 +26,7 @@
 use crate::error::{Error, Result};
 use crate::fleet::suspension;
 use crate::http::{Side, serve};
-use crate::membership::{self, unread_news};
+use crate::membership::{self, unread_reports};
 use crate::view::{hall_sync, host_list, server_sync, table_sync};
 use crate::{hints, operator, peer_server};
 
@@ -150,10 +150,10 @@
         }
         tokio::spawn(store_calls::tell(daemon.fleet.base.clone(), daemon.store.clone()));
         tokio::spawn(announce(Arc::clone(&daemon)));
-        tokio::spawn(host_list::follow_host_list(Arc::clone(&daemon.view)));
+        tokio::spawn(host_list::poll_host_list(Arc::clone(&daemon.view)));
         tokio::spawn(membership::send_heartbeats(Arc::clone(&daemon.membership)));
-        tokio::spawn(membership::send_at_once(Arc::clone(&daemon.membership)));
-        tokio::spawn(unread_news::tell(Arc::clone(&daemon.membership)));
+        tokio::spawn(membership::send_triggered_heartbeats(Arc::clone(&daemon.membership)));
+        tokio::spawn(unread_reports::send_on_change(Arc::clone(&daemon.membership)));
         tokio::spawn(keep::keep(Arc::clone(&daemon.crashes)));
         tokio::spawn(Arc::clone(&daemon.crashes).decide());
         tokio::spawn(Arc::clone(&daemon.crashes).tell_news());
@@ -165,7 +165,7 @@
             tokio::spawn(hall_sync::watch(Arc::clone(&daemon.view)));
         }
         let greeter = Arc::clone(&daemon.membership);
-        tokio::spawn(async move { membership::greet_seed_peers(&greeter).await });
+        tokio::spawn(async move { membership::contact_seed_peers(&greeter).await });
         slog::info!(daemon.log, "serving";
             "incarnation" => %daemon.incarnation, "callers" => &daemon.cfg.caller_listen);
         Ok(Running { daemon, entry: started, sides })
@@ -205,7 +205,7 @@
         };
         // Peers learn at once that this daemon takes nothing new.
         let ((), retired) =
-            tokio::join!(membership::beat(&daemon.membership), retire(daemon, deadline));
+            tokio::join!(membership::send_round(&daemon.membership), retire(daemon, deadline));
         if let Err(e) = daemon.store.withdraw(&own_host(daemon)).await {
             slog::warn!(daemon.log, "this host stays on the list"; "error" => %e);
         }
@@ -268,12 +268,12 @@
     let mut is_announced = false;
     // Either is good: the list, or no answer in time.
     let _unread =
-        tokio::time::timeout(LIST_PATIENCE, host_list::host_list_read(&daemon.view)).await;
+        tokio::time::timeout(LIST_PATIENCE, host_list::wait_for_host_list(&daemon.view)).await;
     loop {
         let list = daemon.view.hosts.load_full();
         let is_known_missing = list.is_read_since(known_since);
-        let is_listed = list.names_since(&host, known_since);
-        let is_away = daemon.fleet.contact.is_store_away(daemon.clock.now());
+        let is_listed = list.contains_since(&host, known_since);
+        let is_away = daemon.fleet.connectivity.is_store_away(daemon.clock.now());
         let mut pause = look_again;
         if !is_listed && (is_known_missing || !is_announced) {
             pause = ANNOUNCE_RETRY;
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -26,7 +26,7 @@
 
 use crate::crashes::gate::Apart;
 use crate::fleet::Fleet;
-use crate::fleet::ask_pause::AskPause;
+use crate::fleet::query_throttle::QueryThrottle;
 
 /// Daemons that write a block which was told to them, and send a request that may run once
 /// more.
@@ -54,7 +54,7 @@
     /// Told when a block is to be kept in the store.
     to_keep: Notify,
     /// When the facts of a peer were last asked for.
-    asked: AskPause,
+    asked: QueryThrottle,
 }
 
 impl Crashes {
@@ -72,7 +72,7 @@
             to_decide: Notify::new(),
             apart: Apart::default(),
             to_keep: Notify::new(),
-            asked: AskPause::default(),
+            asked: QueryThrottle::default(),
         }
     }
 
--- a/crates/daemon/src/crashes/keep.rs
+++ b/crates/daemon/src/crashes/keep.rs
@@ -80,7 +80,7 @@
 
 async fn store_answers(crashes: &Crashes) {
     let is_heard = || {
-        let age = crashes.fleet.contact.store_age(crashes.fleet.base.clock.now());
+        let age = crashes.fleet.connectivity.store_age(crashes.fleet.base.clock.now());
         age.is_some_and(|age| age < HEARD_MS)
     };
     while !is_heard() {
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -96,7 +96,7 @@
         if told == 0 || told == self.digest() {
             return;
         }
-        if !self.asked.may_ask(self.fleet.base.clock.now(), ASK_PAUSE_MS) {
+        if !self.asked.try_acquire(self.fleet.base.clock.now(), ASK_PAUSE_MS) {
             return;
         }
         let (crashes, address) = (Arc::clone(self), address.to_owned());
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -96,6 +96,6 @@
 
 /// When to come back after neither the store nor an owner had tokens.
 fn retry_in_outage(requests: &Requests) -> Duration {
-    let outage_ms = requests.fleet.contact.store_age(requests.base.clock.now());
+    let outage_ms = requests.fleet.connectivity.store_age(requests.base.clock.now());
     Duration::from_millis(outage::retry_after_outage(outage_ms, rand::random()))
 }
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -90,7 +90,7 @@
             "retry_after_ms" => refusal.retry_after().map(|after| after.as_millis() as u64),
             "path" => &path, "tokens" => incoming.and_then(|incoming| incoming.prompt.as_ref())
                 .map(|prompt| prompt.input_tokens + prompt.output_limit),
-            "store_heard_ms" => requests.fleet.contact.store_age(requests.base.clock.now()),
+            "store_heard_ms" => requests.fleet.connectivity.store_age(requests.base.clock.now()),
             "age_ms" => requests.base.clock.now() - arrived);
         refusal
     };
--- a/crates/daemon/src/fleet/health.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -33,7 +33,7 @@
 }
 
 impl State {
-    fn is_alone(&self) -> bool {
+    fn is_cut_off_from_peers(&self) -> bool {
         let last = self.heartbeats.iter().rev().take(ALONE_AFTER);
         self.heartbeats.len() >= ALONE_AFTER && last.into_iter().all(|answered| !answered)
     }
@@ -41,19 +41,19 @@
 
 /// Contact with the store and with peers.
 #[derive(Debug, Default)]
-pub struct Contact {
+pub struct Connectivity {
     state: Mutex<State>,
 }
 
-impl Contact {
+impl Connectivity {
     /// Nobody was heard yet. `follows_halls` as in [`Freshness::new`].
     pub fn new(follows_halls: bool) -> Self {
         let state = State { view: Freshness::new(follows_halls), ..State::default() };
-        Contact { state: Mutex::new(state) }
+        Connectivity { state: Mutex::new(state) }
     }
 
     /// The store answered.
-    pub fn store_heard(&self, now: Millis) {
+    pub fn record_store_answer(&self, now: Millis) {
         let mut state = self.state.lock();
         state.store_heard = Some(now);
         state.store_lost = false;
@@ -61,25 +61,25 @@
     }
 
     /// The store told the table in force.
-    pub fn table_read(&self, now: Millis) {
+    pub fn record_table_read(&self, now: Millis) {
         self.state.lock().view.record_table_read(now);
-        self.store_heard(now);
+        self.record_store_answer(now);
     }
 
     /// The store told the list of servers.
-    pub fn servers_read(&self, now: Millis) {
+    pub fn record_servers_read(&self, now: Millis) {
         self.state.lock().view.record_servers_read(now);
-        self.store_heard(now);
+        self.record_store_answer(now);
     }
 
     /// The store told the halls that take no new work.
-    pub fn halls_read(&self, now: Millis) {
+    pub fn record_halls_read(&self, now: Millis) {
         self.state.lock().view.record_halls_read(now);
-        self.store_heard(now);
+        self.record_store_answer(now);
     }
 
     /// This daemon knows all that a peer knew when its view was this old.
-    pub fn caught_up(&self, now: Millis, age: Millis) {
+    pub fn record_peer_sync(&self, now: Millis, age: Millis) {
         self.state.lock().view.record_peer_sync(now, age);
     }
 
@@ -95,18 +95,18 @@
 
     /// The watch of the store failed: until it answers again, only the watch
     /// asks it. Calls of a store that is away are paid for too.
-    pub fn store_lost(&self) {
+    pub fn mark_store_unavailable(&self) {
         self.state.lock().store_lost = true;
     }
 
     /// This daemon learns of the store from peers now: whether the store is there
     /// shows when it is asked.
-    pub fn store_not_watched(&self) {
+    pub fn clear_store_unavailable(&self) {
         self.state.lock().store_lost = false;
     }
 
     /// A single call failed: the store is left alone for a moment.
-    pub fn store_failed(&self, now: Millis) {
+    pub fn record_store_failure(&self, now: Millis) {
         self.state.lock().store_silent_until = now + STORE_PAUSE_MS;
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// A peer says that the store answered somebody this long ago.
-    pub fn store_heard_by_peer(&self, now: Millis, age: Option<Millis>) {
+    pub fn record_peer_store_age(&self, now: Millis, age: Option<Millis>) {
         let Some(heard) = age.map(|age| now.saturating_sub(age)) else { return };
         let mut state = self.state.lock();
         state.store_heard = state.store_heard.max(Some(heard));
@@ -130,9 +130,9 @@
 
     /// A heartbeat was answered, or not. Returns whether this daemon seems to
     /// have been cut off from all peers until now.
-    pub fn heartbeat(&self, answered: bool) -> bool {
+    pub fn record_heartbeat_outcome(&self, answered: bool) -> bool {
         let mut state = self.state.lock();
-        let was_alone = state.is_alone();
+        let was_alone = state.is_cut_off_from_peers();
         state.heartbeats.push_back(answered);
         if state.heartbeats.len() > REMEMBERED {
             state.heartbeats.pop_front();
@@ -141,8 +141,8 @@
     }
 
     /// Whether no peer has answered of late.
-    pub fn is_alone(&self) -> bool {
-        self.state.lock().is_alone()
+    pub fn is_cut_off_from_peers(&self) -> bool {
+        self.state.lock().is_cut_off_from_peers()
     }
 
     /// Whether this daemon may be cut off from where drains are accepted: no
--- a/crates/daemon/src/fleet/ask_pause.rs
+++ b/crates/daemon/src/fleet/query_throttle.rs
@@ -6,15 +6,15 @@
 
 /// Keeps questions apart whose answers may be long.
 #[derive(Debug, Default)]
-pub struct AskPause {
+pub struct QueryThrottle {
     /// When the last one was asked; 0 before the first.
     asked_at: AtomicU64,
 }
 
-impl AskPause {
+impl QueryThrottle {
     /// Whether a question may be asked now, at least `pause` milliseconds after the last one; it
     /// counts as asked then.
-    pub fn may_ask(&self, now: Millis, pause: Millis) -> bool {
+    pub fn try_acquire(&self, now: Millis, pause: Millis) -> bool {
         let asked_at = self.asked_at.load(Ordering::Relaxed);
         let may_ask = asked_at == 0 || now.saturating_sub(asked_at) >= pause;
         if may_ask {
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -24,7 +24,7 @@
             known = suspended;
             fleet.base.metrics.count("host.suspended");
             slog::warn!(fleet.base.log, "host was suspended"; "for_ms" => since.as_millis() as u64,
-                "view_age_ms" => fleet.contact.view_age(fleet.base.clock.now()));
+                "view_age_ms" => fleet.connectivity.view_age(fleet.base.clock.now()));
             fleet.base.clock.wake();
         }
     }
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::Fleet;
-use crate::fleet::ask_pause::AskPause;
+use crate::fleet::query_throttle::QueryThrottle;
 
 /// Changes that wait to be told to peers; what is left out is brought by heartbeats.
 const MOST_NEWS: usize = 4_096;
@@ -59,7 +59,7 @@
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
     /// When the facts of a peer were last asked for.
-    asked: AskPause,
+    asked: QueryThrottle,
     news: mpsc::Sender<HintFact>,
     to_tell: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
@@ -82,7 +82,7 @@
             has_closed: AtomicBool::new(false),
             limits_digest: AtomicU64::new(0),
             leaving_digest: AtomicU64::new(0),
-            asked: AskPause::default(),
+            asked: QueryThrottle::default(),
             news,
             to_tell: Mutex::new(Some(to_tell)),
         }
--- a/crates/daemon/src/hints/spread.rs
+++ b/crates/daemon/src/hints/spread.rs
@@ -99,7 +99,7 @@
         if told == self.digest() {
             return;
         }
-        if !self.asked.may_ask(self.fleet.base.clock.now(), ASK_PAUSE_MS) {
+        if !self.asked.try_acquire(self.fleet.base.clock.now(), ASK_PAUSE_MS) {
             return;
         }
         let (hints, address) = (Arc::clone(self), address.to_owned());
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,10 +1,10 @@
 //! Heartbeats, and what they tell of others.
 //!
-//! Owns the rounds of heartbeats and what is told between them (`unread_news`). May call `view`,
+//! Owns the rounds of heartbeats and what is told between them (`unread_reports`). May call `view`,
 //! `crashes`, `limits`, `fleet` and peers; called by `peer_server` and the start. What is to be
 //! told at once reaches it by the notice in `fleet`, so that the layers below need not call it.
 
-pub mod unread_news;
+pub mod unread_reports;
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -101,8 +101,8 @@
             servers_version,
             evacuated,
             stopping: self.stopping.is_cancelled(),
-            store_heard_ms: self.fleet.contact.store_age(self.fleet.base.clock.now()),
-            view_age_ms: self.fleet.contact.view_age(self.fleet.base.clock.now()),
+            store_heard_ms: self.fleet.connectivity.store_age(self.fleet.base.clock.now()),
+            view_age_ms: self.fleet.connectivity.view_age(self.fleet.base.clock.now()),
             paces,
             crashes_digest: self.crashes.digest(),
             hints_digest: self.hints.digest(),
@@ -114,7 +114,7 @@
 /// so that the ages in it say nothing: counted from when they are taken in they grew by less
 /// than time passes, and a fleet that was cut from the store never noticed. A sender that
 /// seems to be current when this daemon is not is asked.
-pub fn heard(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
+pub fn handle_heartbeat(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     take_in(membership, heartbeat);
     let seems_current = heartbeat.view_age_ms.is_some_and(|age| age < STALE_VIEW_MS);
     let (membership, heartbeat) = (Arc::clone(membership), heartbeat.clone());
@@ -133,7 +133,7 @@
 /// younger than from then.
 fn answered(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
     take_in(membership, heartbeat);
-    membership.fleet.contact.store_heard_by_peer(asked_at, heartbeat.store_heard_ms);
+    membership.fleet.connectivity.record_peer_store_age(asked_at, heartbeat.store_heard_ms);
     if knows_all_of(membership, heartbeat) {
         caught_up(membership, heartbeat, asked_at);
         return;
@@ -148,7 +148,7 @@
 }
 
 fn take_in(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
-    hall_sync::heard(&membership.view, &heartbeat.evacuated);
+    hall_sync::merge_from_peer(&membership.view, &heartbeat.evacuated);
     membership.crashes.heard_digest(&heartbeat.address, heartbeat.crashes_digest);
     membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
     membership.fleet.members.lock().record_heartbeat(membership.fleet.base.clock.now(), heartbeat);
@@ -164,8 +164,8 @@
 fn caught_up(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
     let Some(age) = heartbeat.view_age_ms else { return };
     let was_current = membership.fleet.is_current();
-    membership.fleet.contact.caught_up(asked_at, age);
-    membership.fleet.pass_on_return(was_current);
+    membership.fleet.connectivity.record_peer_sync(asked_at, age);
+    membership.fleet.announce_if_current_again(was_current);
 }
 
 /// Fetches what the sender of a heartbeat knows newer.
@@ -189,7 +189,7 @@
         membership.view.router.lock().expire_unread_reports(membership.fleet.base.clock.now());
         membership.crashes.forget_old();
         membership.hints.forget_old();
-        beat(&membership).await;
+        send_round(&membership).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
             () = membership.fleet.base.ended.cancelled() => return,
@@ -199,19 +199,19 @@
 
 /// Sends a round whenever peers are to hear at once, until the daemon ends. One that waits for a
 /// silent peer delays no other.
-pub async fn send_at_once(membership: Arc<Membership>) {
+pub async fn send_triggered_heartbeats(membership: Arc<Membership>) {
     loop {
         tokio::select! {
-            () = membership.fleet.to_tell.notified() => {}
+            () = membership.fleet.heartbeat_now.notified() => {}
             () = membership.fleet.base.ended.cancelled() => return,
         }
         let membership = Arc::clone(&membership);
-        tokio::spawn(async move { beat(&membership).await });
+        tokio::spawn(async move { send_round(&membership).await });
     }
 }
 
 /// Sends one round of heartbeats to a few peers.
-pub async fn beat(membership: &Arc<Membership>) {
+pub async fn send_round(membership: &Arc<Membership>) {
     let fanout = membership.fleet.base.cfg.limits.heartbeat_fanout;
     let targets = membership.fleet.members.lock().heartbeat_targets(fanout, rand::random());
     futures::future::join_all(targets.iter().map(|peer| beat_one(membership, peer))).await;
@@ -225,7 +225,7 @@
     };
     let asked_at = membership.fleet.base.clock.now();
     let answer = membership.fleet.base.peers.call(&peer.address, timeout, beat).await;
-    if membership.fleet.contact.heartbeat(answer.is_some()) {
+    if membership.fleet.connectivity.record_heartbeat_outcome(answer.is_some()) {
         slog::info!(membership.fleet.base.log, "peers regained"; "first" => %peer.name);
         membership.fleet.members.lock().clear_failures();
     }
@@ -237,13 +237,13 @@
 
 /// Makes the peers of the settings known, for a start without the platform, and hears of
 /// what they know until this daemon has a table, or reads it by itself.
-pub async fn greet_seed_peers(membership: &Arc<Membership>) {
+pub async fn contact_seed_peers(membership: &Arc<Membership>) {
     let me = membership.fleet.base.cfg.peer_address();
     let seeds: Vec<&String> =
         membership.fleet.base.cfg.seed_peers.iter().filter(|seed| *seed != me).collect();
     loop {
         futures::future::join_all(seeds.iter().map(|seed| greet(membership, seed))).await;
-        if membership.view.revision() > 0 || !membership.fleet.awaits_peers() {
+        if membership.view.revision() > 0 || !membership.fleet.is_in_startup_wait() {
             return;
         }
         tokio::select! {
--- a/crates/daemon/src/membership/unread_news.rs
+++ b/crates/daemon/src/membership/unread_reports.rs
@@ -16,13 +16,13 @@
 
 /// Shorter prompts are not told: they are read in some 30 to 60 ms, and by the time
 /// that a peer knows of one it is half read.
-pub const MIN_TOLD_TOKENS: Tokens = 2_000;
+pub const MIN_REPORTED_TOKENS: Tokens = 2_000;
 
 /// Pause between two rounds of news: what changes meanwhile is told by the next.
 const PAUSE: Duration = Duration::from_millis(5);
 
 /// Tells peers of each change, until the daemon ends.
-pub async fn tell(membership: Arc<Membership>) {
+pub async fn send_on_change(membership: Arc<Membership>) {
     loop {
         tokio::select! {
             () = membership.unread_changed.notified() => {}
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -15,8 +15,8 @@
 
 pub use pool::PeerPool;
 pub use protocol::{
-    AllotAnswer, GiveAnswer, HostsTold, OwnerAnswer, PeerService, PeerServiceClient, PermitAnswer,
-    Refusal,
+    AllotAnswer, GiveAnswer, HostListReply, OwnerAnswer, PeerService, PeerServiceClient,
+    PermitAnswer, Refusal,
 };
 
 /// Largest message; a whole table fits.
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -88,7 +88,7 @@
 
 /// The platform's host list, as a peer tells it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HostsTold {
+pub struct HostListReply {
     /// The lines.
     pub hosts: Vec<Host>,
     /// How long ago the store was asked for it, in milliseconds.
@@ -109,7 +109,7 @@
     async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
     /// The platform's host list as the receiver knows it, unless its hash is
     /// this one.
-    async fn hosts_unless(hash: u64) -> Option<HostsTold>;
+    async fn hosts_unless(hash: u64) -> Option<HostListReply>;
     /// Asks the receiver as the owner of a budget shard.
     async fn ask_owner(request: Request) -> OwnerAnswer;
     /// Asks the receiver, as the owner of a budget's shard, for tokens that it
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -29,7 +29,7 @@
 use crate::membership;
 use crate::peer::packed_table::PackedTable;
 use crate::peer::{
-    AllotAnswer, GiveAnswer, HostsTold, OwnerAnswer, PeerService, PermitAnswer, framed,
+    AllotAnswer, GiveAnswer, HostListReply, OwnerAnswer, PeerService, PermitAnswer, framed,
 };
 
 /// Pause after a connection could not be accepted.
@@ -42,7 +42,7 @@
 
 impl PeerService for Server {
     async fn heartbeat(self, _: Context, from: Heartbeat) -> Heartbeat {
-        membership::heard(&self.daemon.membership, &from);
+        membership::handle_heartbeat(&self.daemon.membership, &from);
         self.daemon.membership.heartbeat()
     }
 
@@ -74,8 +74,8 @@
         self.daemon.view.servers.lock().update_since(now, version)
     }
 
-    async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostsTold> {
-        self.daemon.view.hosts.load().unless(hash, self.daemon.clock.now())
+    async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostListReply> {
+        self.daemon.view.hosts.load().unless_hash(hash, self.daemon.clock.now())
     }
 
     async fn ask_owner(self, _: Context, request: Request) -> OwnerAnswer {
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -6,7 +6,7 @@
 use bankcove_core::{Millis, Name, Tokens};
 
 use crate::crashes::gate::RunApart;
-use crate::membership::unread_news::MIN_TOLD_TOKENS;
+use crate::membership::unread_reports::MIN_REPORTED_TOKENS;
 use crate::requests::Requests;
 
 /// A request that is open at a server; dropping it counts it as ended.
@@ -25,7 +25,7 @@
     /// the server of this choice.
     pub fn new(requests: &Arc<Requests>, choice: &Choice, prompt: Tokens) -> Self {
         requests.router.lock().record_sent(&choice.server, choice.started_ms, prompt);
-        if prompt >= MIN_TOLD_TOKENS {
+        if prompt >= MIN_REPORTED_TOKENS {
             requests.unread_changed.notify_one();
         }
         OpenRequest {
@@ -44,7 +44,7 @@
         if prompt > 0 {
             self.requests.router.lock().record_prompt_read(&self.server, self.started_ms, prompt);
         }
-        if prompt >= MIN_TOLD_TOKENS {
+        if prompt >= MIN_REPORTED_TOKENS {
             self.requests.unread_changed.notify_one();
         }
     }
--- a/crates/daemon/src/view/hall_sync.rs
+++ b/crates/daemon/src/view/hall_sync.rs
@@ -6,7 +6,7 @@
 use bankcove_core::Millis;
 use bankcove_core::hall_list::{EvacuatedHalls, HallChanges};
 
-use crate::fleet::{STORE_PAUSE, Turn, WATCH};
+use crate::fleet::{STORE_RETRY_PAUSE, WATCH_TIMEOUT, WatchStep};
 use crate::view::View;
 use crate::view::routing_table;
 
@@ -16,14 +16,14 @@
     let mut at = 0;
     loop {
         let is_known = view.halls.lock().evacuated().at > 0;
-        match view.fleet.next_turn(is_known).await {
-            Turn::Ask => {}
-            Turn::Wait => continue,
-            Turn::End => return,
+        match view.fleet.next_watch_step(is_known).await {
+            WatchStep::ReadStore => {}
+            WatchStep::Wait => continue,
+            WatchStep::Stop => return,
         }
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
-            watched = view.store.watch_halls(at, WATCH) => watched,
+            watched = view.store.watch_halls(at, WATCH_TIMEOUT) => watched,
             () = view.fleet.base.ended.cancelled() => return,
         };
         match watched {
@@ -40,7 +40,7 @@
                 slog::debug!(view.fleet.base.log, "evacuated halls not watched"; "error" => %e);
                 // What was missed meanwhile is read as a whole list.
                 at = 0;
-                tokio::time::sleep(STORE_PAUSE).await;
+                tokio::time::sleep(STORE_RETRY_PAUSE).await;
             }
         }
     }
@@ -49,17 +49,17 @@
 fn take_changes(view: &Arc<View>, asked_at: Millis, changes: HallChanges) {
     let now = view.fleet.base.clock.now();
     let was_current = view.fleet.is_current();
-    view.fleet.contact.halls_read(view.fleet.watched_at(asked_at));
-    view.unreadable.tell(&view.fleet.base.log, "evacuations", &changes.unreadable);
+    view.fleet.connectivity.record_halls_read(view.fleet.watch_answer_time(asked_at));
+    view.unreadable.log_new(&view.fleet.base.log, "evacuations", &changes.unreadable);
     let is_changed = view.halls.lock().apply(now, changes);
     if is_changed {
         changed(view);
     }
-    view.fleet.pass_on_return(was_current);
+    view.fleet.announce_if_current_again(was_current);
 }
 
 /// Takes the list of a peer, if it is newer.
-pub fn heard(view: &Arc<View>, told: &EvacuatedHalls) {
+pub fn merge_from_peer(view: &Arc<View>, told: &EvacuatedHalls) {
     let is_changed = view.halls.lock().adopt(view.fleet.base.clock.now(), told.clone());
     if is_changed {
         changed(view);
@@ -72,5 +72,5 @@
     let told = view.halls.lock().evacuated().clone();
     let names: Vec<String> = told.halls.iter().map(ToString::to_string).collect();
     slog::info!(view.fleet.base.log, "evacuated halls changed"; "version" => told.at, "halls" => names.join(", "));
-    view.fleet.to_tell.notify_one();
+    view.fleet.heartbeat_now.notify_one();
 }
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -8,8 +8,8 @@
 use bankcove_core::{Millis, Name};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fleet::START_POLL;
-use crate::peer::HostsTold;
+use crate::fleet::STARTUP_POLL;
+use crate::peer::HostListReply;
 use crate::view::View;
 
 /// All hosts of a fleet start, and are listed, within this time: the users' do so
@@ -21,7 +21,7 @@
 const FIRST_LIST_RETRY: Duration = Duration::from_millis(300);
 
 /// Reads the platform's host list until the daemon ends.
-pub async fn follow_host_list(view: Arc<View>) {
+pub async fn poll_host_list(view: Arc<View>) {
     let interval = Duration::from_millis(view.fleet.base.cfg.limits.host_list_ms);
     loop {
         read_host_list(&view).await;
@@ -44,16 +44,16 @@
 }
 
 /// Waits until this start has read a host list.
-pub async fn host_list_read(view: &View) {
+pub async fn wait_for_host_list(view: &View) {
     while !view.hosts.load().is_read() {
-        tokio::time::sleep(START_POLL).await;
+        tokio::time::sleep(STARTUP_POLL).await;
     }
 }
 
 /// Reads the platform's host list once: from the store when this daemon reads
 /// it for its hall, else from a peer that does.
 pub async fn read_host_list(view: &Arc<View>) {
-    let list = match store_readers(view) {
+    let list = match check_store_reader(view) {
         // By a list that is not complete nobody can tell who reads.
         Err(peers) if view.fleet.size().is_some() => host_list_of_peers(view, &peers).await,
         _ => host_list_of_store(view).await,
@@ -63,7 +63,7 @@
             take_host_list(view, list);
             if view.revision() == 0 {
                 // Neighbours are known now, and may have the table.
-                view.fleet.to_tell.notify_one();
+                view.fleet.heartbeat_now.notify_one();
             }
         }
         None => slog::debug!(view.fleet.base.log, "host list not read"),
@@ -76,7 +76,7 @@
 async fn host_list_of_store(view: &Arc<View>) -> Option<HostList> {
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
-    let is_away = view.fleet.contact.is_store_away(asked_at);
+    let is_away = view.fleet.connectivity.is_store_away(asked_at);
     let is_told = view.fleet.store_read_policy().startup_wait() > 0;
     if (is_known && is_told) || is_away {
         let told = host_list_of_seeds(view).await;
@@ -86,13 +86,13 @@
     }
     match view.store.hosts().await {
         Ok(read) => {
-            view.unreadable.tell(&view.fleet.base.log, "hosts", &read.unreadable);
+            view.unreadable.log_new(&view.fleet.base.log, "hosts", &read.unreadable);
             Some(HostList::new(read.hosts, asked_at as i64))
         }
         Err(e) => {
             slog::info!(view.fleet.base.log, "host list not read"; "error" => %e);
             // Peers of the settings are asked until the watch finds the store, or they do.
-            view.fleet.contact.store_lost();
+            view.fleet.connectivity.mark_store_unavailable();
             None
         }
     }
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// The peers to ask instead.
-pub fn store_readers(view: &View) -> Result<(), Vec<Peer>> {
+pub fn check_store_reader(view: &View) -> Result<(), Vec<Peer>> {
     let count = view.fleet.base.cfg.limits.store_readers;
     view.fleet.members.lock().check_store_reader(&view.fleet.base.cfg.hall, count)
 }
@@ -188,7 +188,7 @@
     }
 
     /// Whether the store, asked at this time or later, named this host as it is now.
-    pub fn names_since(&self, host: &Host, since: i64) -> bool {
+    pub fn contains_since(&self, host: &Host, since: i64) -> bool {
         self.read_at >= since && self.hosts.contains(host)
     }
 
@@ -199,8 +199,9 @@
 
     /// The list for a peer that knows the one with `hash`; none when it is the same, or
     /// none was read yet.
-    pub fn unless(&self, hash: u64, now: Millis) -> Option<HostsTold> {
+    pub fn unless_hash(&self, hash: u64, now: Millis) -> Option<HostListReply> {
         let is_news = self.is_read() && self.hash != hash;
-        is_news.then(|| HostsTold { hosts: self.hosts.clone(), age_ms: now as i64 - self.read_at })
+        is_news
+            .then(|| HostListReply { hosts: self.hosts.clone(), age_ms: now as i64 - self.read_at })
     }
 }
--- a/crates/daemon/src/view/routing_table.rs
+++ b/crates/daemon/src/view/routing_table.rs
@@ -12,7 +12,7 @@
     // The router's lock orders adoptions: a table read before it may be old.
     let mut router = view.router.lock();
     let Some(table) = view.table.load_full() else { return };
-    router.adopt(&with_listed(view, &table));
+    router.adopt(&with_platform_lists(view, &table));
     let list = view.servers.lock();
     let draining = list.servers().filter(|server| server.draining).count();
     slog::info!(view.fleet.base.log, "servers changed";
@@ -23,7 +23,7 @@
 /// and halls that take no new work.
 ///
 /// A listed server's pool is its service; its weight in the pool is one.
-pub fn with_listed(view: &View, table: &Table) -> Table {
+pub fn with_platform_lists(view: &View, table: &Table) -> Table {
     let mut table = table.clone();
     put_halls(view, &mut table);
     let halls = view.halls.lock().clone();
--- a/crates/daemon/src/view/server_sync.rs
+++ b/crates/daemon/src/view/server_sync.rs
@@ -8,7 +8,7 @@
 use bankcove_core::server_list::ServerChanges;
 
 use crate::fleet;
-use crate::fleet::WATCH;
+use crate::fleet::WATCH_TIMEOUT;
 use crate::peer::FETCH_TIMEOUT;
 use crate::view::View;
 use crate::view::routing_table;
@@ -25,27 +25,28 @@
     let mut failures = 0;
     loop {
         let known = view.servers.lock().version();
-        let told_pause = view.fleet.told_pause();
-        if let Some(pause) = told_pause.filter(|_| known.is_some()) {
+        let peer_sync_pause = view.fleet.peer_sync_pause();
+        if let Some(pause) = peer_sync_pause.filter(|_| known.is_some()) {
             // Heartbeats tell of newer lists, and peers hand them over.
             at = known.at;
             was_away = false;
             // Peers reach the store: a look that fails from here on is the first.
             failures = 0;
             drop_expired(&view);
-            view.fleet.contact.store_not_watched();
+            view.fleet.connectivity.clear_store_unavailable();
             tokio::select! {
                 () = tokio::time::sleep(pause) => continue,
                 () = view.fleet.base.ended.cancelled() => return,
             }
         }
-        if view.fleet.awaits_peers() {
-            tokio::time::sleep(fleet::START_POLL).await;
+        if view.fleet.is_in_startup_wait() {
+            tokio::time::sleep(fleet::STARTUP_POLL).await;
             continue;
         }
         // Entries that lapsed are dropped when their grace is over, not later.
         let next_drop = view.servers.lock().next_drop(view.fleet.base.clock.now());
-        let wait = next_drop.map_or(WATCH, |millis| WATCH.min(Duration::from_millis(millis)));
+        let wait = next_drop
+            .map_or(WATCH_TIMEOUT, |millis| WATCH_TIMEOUT.min(Duration::from_millis(millis)));
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
             watched = view.store.watch_servers(at, wait) => watched,
@@ -65,14 +66,14 @@
                 at = 0;
             }
             Err(e) => {
-                view.fleet.contact.store_lost();
+                view.fleet.connectivity.mark_store_unavailable();
                 if !std::mem::replace(&mut was_away, true) {
                     slog::warn!(view.fleet.base.log, "store lost"; "error" => %e);
                 }
                 // What was missed meanwhile is read as a whole list.
                 at = 0;
                 failures += 1;
-                view.fleet.pause_without_store(failures).await;
+                view.fleet.wait_for_store_probe(failures).await;
             }
         }
     }
@@ -82,9 +83,9 @@
 fn take_changes(view: &Arc<View>, asked_at: Millis, changes: ServerChanges, is_back: bool) -> bool {
     let now = view.fleet.base.clock.now();
     let was_current = view.fleet.is_current();
-    view.fleet.contact.servers_read(view.fleet.watched_at(asked_at));
-    view.fleet.pass_on_return(was_current);
-    view.unreadable.tell(&view.fleet.base.log, "servers", &changes.unreadable);
+    view.fleet.connectivity.record_servers_read(view.fleet.watch_answer_time(asked_at));
+    view.fleet.announce_if_current_again(was_current);
+    view.unreadable.log_new(&view.fleet.base.log, "servers", &changes.unreadable);
     let mut list = view.servers.lock();
     if is_back {
         list.start_grace_period(now);
@@ -94,7 +95,7 @@
     drop(list);
     if changed {
         routing_table::refresh(view);
-        view.fleet.to_tell.notify_one();
+        view.fleet.heartbeat_now.notify_one();
     }
     changed
 }
@@ -104,7 +105,7 @@
     let dropped = view.servers.lock().drop_expired(view.fleet.base.clock.now());
     if dropped {
         routing_table::refresh(view);
-        view.fleet.to_tell.notify_one();
+        view.fleet.heartbeat_now.notify_one();
     }
 }
 
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -8,7 +8,7 @@
 use bankcove_core::table::Table;
 use bankcove_ports::{Kind, WriteOutcome};
 
-use crate::fleet::{STORE_PAUSE, Turn, WATCH};
+use crate::fleet::{STORE_RETRY_PAUSE, WATCH_TIMEOUT, WatchStep};
 use crate::peer::FETCH_TIMEOUT;
 use crate::view::View;
 use crate::view::{orders, routing_table};
@@ -43,7 +43,7 @@
         if table.revision <= view.revision() {
             return;
         }
-        router.adopt(&routing_table::with_listed(view, &table));
+        router.adopt(&routing_table::with_platform_lists(view, &table));
         let old = view.table.load_full();
         orders::send_changed(view, old.as_deref(), &table);
         slog::info!(view.fleet.base.log, "table adopted"; "revision" => table.revision);
@@ -51,7 +51,7 @@
     }
     view.fleet.base.metrics.count("table.adopted");
     // Others hear of the new revision at once, not at the next heartbeat.
-    view.fleet.to_tell.notify_one();
+    view.fleet.heartbeat_now.notify_one();
 }
 
 /// Watches the table in the store, as long as this daemon does so for its
@@ -60,27 +60,27 @@
     let mut at = 0;
     loop {
         // Heartbeats tell of new revisions, and peers hand them over.
-        match view.fleet.next_turn(view.revision() > 0).await {
-            Turn::Ask => {}
-            Turn::Wait => continue,
-            Turn::End => return,
+        match view.fleet.next_watch_step(view.revision() > 0).await {
+            WatchStep::ReadStore => {}
+            WatchStep::Wait => continue,
+            WatchStep::Stop => return,
         }
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
-            watched = view.store.watch::<Table>(Kind::Table, TABLE_NAME, at, WATCH) => watched,
+            watched = view.store.watch::<Table>(Kind::Table, TABLE_NAME, at, WATCH_TIMEOUT) => watched,
             () = view.fleet.base.ended.cancelled() => return,
         };
         match watched {
             Ok(watched) => {
                 let was_current = view.fleet.is_current();
-                view.fleet.contact.table_read(view.fleet.watched_at(asked_at));
-                view.fleet.pass_on_return(was_current);
+                view.fleet.connectivity.record_table_read(view.fleet.watch_answer_time(asked_at));
+                view.fleet.announce_if_current_again(was_current);
                 let is_missing = watched.at == 0 && watched.changed.is_none();
                 at = watched.at;
                 if let Some(read) = watched.changed {
                     adopt(&view, read.value);
                 } else if is_missing {
-                    view.fleet.pause_without_store(u32::MAX).await;
+                    view.fleet.wait_for_store_probe(u32::MAX).await;
                 }
             }
             Err(bankcove_ports::Error::HistoryGone { after }) => {
@@ -93,10 +93,10 @@
                         name: Some(Name::from(name.as_str())),
                         problem: problem.clone(),
                     };
-                    view.unreadable.tell(&view.fleet.base.log, "table", &[entry]);
+                    view.unreadable.log_new(&view.fleet.base.log, "table", &[entry]);
                 }
                 slog::debug!(view.fleet.base.log, "table not watched"; "error" => %e);
-                tokio::time::sleep(STORE_PAUSE).await;
+                tokio::time::sleep(STORE_RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/daemon/src/view/unreadable.rs
+++ b/crates/daemon/src/view/unreadable.rs
@@ -18,7 +18,7 @@
 
 impl UnreadableEntries {
     /// Tells of those entries of a kind that were not told yet.
-    pub fn tell(&self, log: &Logger, kind: &'static str, entries: &[Unreadable]) {
+    pub fn log_new(&self, log: &Logger, kind: &'static str, entries: &[Unreadable]) {
         let mut told = self.told.lock();
         for entry in entries {
             if told.len() >= REMEMBERED {
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -35,8 +35,8 @@
     let daemon: Arc<Daemon> =
         Daemon::new(Config::example(), logging::silent()).expect("it can be set up");
     // How long it was under way nobody knows.
-    membership::heard(&daemon.membership, &heartbeat());
+    membership::handle_heartbeat(&daemon.membership, &heartbeat());
     let now = daemon.clock.now();
-    assert_eq!(daemon.fleet.contact.view_age(now), None);
-    assert_eq!(daemon.fleet.contact.store_age(now), None);
+    assert_eq!(daemon.fleet.connectivity.view_age(now), None);
+    assert_eq!(daemon.fleet.connectivity.store_age(now), None);
 }
