--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -1,9 +1,9 @@
-//! What this daemon knows of the configuration, the servers, the halls and the hosts.
+//! This daemon's view of the configuration, the servers, the halls and the hosts.
 //!
-//! Owns how the table and the lists are followed in the store and fetched from peers
-//! (`table_sync`, `server_sync`, `hall_sync`, `host_list`), and what the router works by
-//! (`routing_table`); tells servers of orders (`orders`). May call the store, `fleet` and peers;
-//! called by `membership`, by the answers to peers and by the start.
+//! Synchronizes the table and the platform's lists with the store and with peers (`table_sync`,
+//! `server_sync`, `hall_sync`, `host_list`), builds the table for the router (`routing_table`)
+//! and sends orders to backend servers (`orders`). May call the store, `fleet` and peers; called
+//! by `membership`, `peer_server` and the startup code.
 
 pub mod hall_sync;
 pub mod host_list;
@@ -27,30 +27,30 @@
 use crate::view::host_list::HostList;
 use crate::view::unreadable::UnreadableEntries;
 
-/// What this daemon knows of the table, the servers, the halls and the hosts.
+/// This daemon's view of the table, the servers, the halls and the hosts.
 pub struct View {
     /// The other daemons.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
-    /// Connections to backend servers, for orders.
+    /// HTTP client that sends orders to backend servers.
     pub http: reqwest::Client,
-    /// The table in force; none until the first one is adopted.
+    /// The table in force; none until the first table is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
     /// The routing state.
     pub router: Arc<Mutex<Router>>,
-    /// The backend servers that the platform lists.
+    /// The platform's list of backend servers.
     pub servers: Mutex<ServerList>,
-    /// Halls that take no new work.
+    /// The platform's list of evacuated halls, which take no new work.
     pub halls: Mutex<HallList>,
-    /// The platform's host list as last read.
+    /// The last host list read from the platform.
     pub hosts: ArcSwap<HostList>,
-    /// Entries of the store that can't be read, each told once.
+    /// Entries of the store that can't be parsed; each is logged once.
     unreadable: UnreadableEntries,
 }
 
 impl View {
-    /// Nothing is known yet.
+    /// Creates a view in which neither the table nor any list is known.
     pub fn new(
         fleet: Fleet,
         store: Store,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Revision of the table in force; 0 when there is none yet.
+    /// Returns the revision of the table in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.table.load().as_ref().map_or(0, |table| table.revision)
     }
--- a/crates/daemon/src/view/hall_sync.rs
+++ b/crates/daemon/src/view/hall_sync.rs
@@ -1,5 +1,5 @@
-//! Halls that take no new work: watched in the store by the readers of a hall, told to the
-//! others in heartbeats.
+//! Synchronizes the list of evacuated halls, which take no new work: the readers of each hall
+//! watch it in the store, the other daemons receive it in heartbeats.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 use crate::view::View;
 use crate::view::routing_table;
 
-/// Watches the list in the store, as long as this daemon does so for its hall, until the
-/// daemon ends.
+/// Watches the list in the store whenever this daemon reads the store itself, until the daemon
+/// ends.
 pub async fn watch(view: Arc<View>) {
     let mut at = 0;
     loop {
@@ -30,15 +30,15 @@
             Ok(None) => return,
             Ok(Some(changes)) => {
                 at = changes.at;
-                take_changes(&view, asked_at, changes);
+                apply_changes(&view, asked_at, changes);
             }
             Err(bankcove_ports::Error::HistoryGone { after }) => {
-                slog::info!(view.fleet.base.log, "evacuated halls read anew: the store forgot its history"; "after" => after);
+                slog::info!(view.fleet.base.log, "re-reading evacuated halls: the store no longer has the history"; "after" => after);
                 at = 0;
             }
             Err(e) => {
-                slog::debug!(view.fleet.base.log, "evacuated halls not watched"; "error" => %e);
-                // What was missed meanwhile is read as a whole list.
+                slog::debug!(view.fleet.base.log, "failed to watch evacuated halls"; "error" => %e);
+                // Reads the full list next, as changes may be missed meanwhile.
                 at = 0;
                 tokio::time::sleep(STORE_RETRY_PAUSE).await;
             }
@@ -46,31 +46,31 @@
     }
 }
 
-fn take_changes(view: &Arc<View>, asked_at: Millis, changes: HallChanges) {
+fn apply_changes(view: &Arc<View>, asked_at: Millis, changes: HallChanges) {
     let now = view.fleet.base.clock.now();
     let was_current = view.fleet.is_current();
     view.fleet.connectivity.record_halls_read(view.fleet.watch_answer_time(asked_at));
     view.unreadable.log_new(&view.fleet.base.log, "evacuations", &changes.unreadable);
     let is_changed = view.halls.lock().apply(now, changes);
     if is_changed {
-        changed(view);
+        publish_change(view);
     }
     view.fleet.announce_if_current_again(was_current);
 }
 
-/// Takes the list of a peer, if it is newer.
-pub fn merge_from_peer(view: &Arc<View>, told: &EvacuatedHalls) {
-    let is_changed = view.halls.lock().adopt(view.fleet.base.clock.now(), told.clone());
+/// Adopts the list of a peer if it is newer.
+pub fn merge_from_peer(view: &Arc<View>, evacuated: &EvacuatedHalls) {
+    let is_changed = view.halls.lock().adopt(view.fleet.base.clock.now(), evacuated.clone());
     if is_changed {
-        changed(view);
+        publish_change(view);
     }
 }
 
-/// No new work goes there from here on, and others hear of it at once.
-fn changed(view: &Arc<View>) {
+/// Routes by the changed list, logs it and triggers heartbeats, which carry it to peers.
+fn publish_change(view: &Arc<View>) {
     routing_table::refresh(view);
-    let told = view.halls.lock().evacuated().clone();
-    let names: Vec<String> = told.halls.iter().map(ToString::to_string).collect();
-    slog::info!(view.fleet.base.log, "evacuated halls changed"; "version" => told.at, "halls" => names.join(", "));
+    let evacuated = view.halls.lock().evacuated().clone();
+    let names: Vec<String> = evacuated.halls.iter().map(ToString::to_string).collect();
+    slog::info!(view.fleet.base.log, "evacuated halls changed"; "version" => evacuated.at, "halls" => names.join(", "));
     view.fleet.heartbeat_now.notify_one();
 }
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -1,5 +1,5 @@
-//! The platform's list of hosts: read from the store by a few daemons of each hall, from
-//! peers by the others.
+//! Reads the platform's host list: a few daemons of each hall read it from the store, the others
+//! from those peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 use crate::peer::HostListReply;
 use crate::view::View;
 
-/// All hosts of a fleet start, and are listed, within this time: the users' do so
-/// within 0.3 s, and write for some 0.1 s.
-const FLEET_START: Duration = Duration::from_millis(1_000);
+/// Time within which all hosts of a fleet start and are listed: the users' hosts start within
+/// 0.3 s and take some 0.1 s to write their entries.
+const FLEET_START_TIME: Duration = Duration::from_millis(1_000);
 
-/// Pause between two tries to have the first host list of a start: a store that is away
-/// is not asked, and peers answer in some milliseconds.
-const FIRST_LIST_RETRY: Duration = Duration::from_millis(300);
+/// Pause between attempts to read the first host list after startup: an unavailable store is not
+/// asked, and peers answer within a few milliseconds.
+const FIRST_LIST_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Reads the platform's host list until the daemon ends.
+/// Reads the platform's host list at regular intervals until the daemon ends.
 pub async fn poll_host_list(view: Arc<View>) {
     let interval = Duration::from_millis(view.fleet.base.cfg.limits.host_list_ms);
     loop {
         read_host_list(&view).await;
-        let is_told = view.fleet.store_read_policy().startup_wait() > 0;
+        let waits_for_peers = view.fleet.store_read_policy().startup_wait() > 0;
         let pause = match (view.hosts.load().is_read(), view.fleet.size()) {
-            // Without the list a daemon does not even know how large its fleet is.
-            (false, _) => FIRST_LIST_RETRY,
-            // In a start of the whole fleet others are not listed yet. Peers of the
-            // settings read the list again first, and have it for the others.
-            (true, None) if is_told => FLEET_START + FIRST_LIST_RETRY,
-            (true, None) => FLEET_START,
+            // Without the list the size of the fleet is unknown too.
+            (false, _) => FIRST_LIST_RETRY_PAUSE,
+            // When the whole fleet starts, other daemons may not be listed yet. Seed peers
+            // read the list again first, and the others then fetch it from them.
+            (true, None) if waits_for_peers => FLEET_START_TIME + FIRST_LIST_RETRY_PAUSE,
+            (true, None) => FLEET_START_TIME,
             (true, Some(_)) => interval,
         };
         let pause = pause.min(interval);
@@ -43,45 +43,45 @@
     }
 }
 
-/// Waits until this start has read a host list.
+/// Waits until a host list was read since startup.
 pub async fn wait_for_host_list(view: &View) {
     while !view.hosts.load().is_read() {
         tokio::time::sleep(STARTUP_POLL).await;
     }
 }
 
-/// Reads the platform's host list once: from the store when this daemon reads
-/// it for its hall, else from a peer that does.
+/// Reads the platform's host list once: from the store if this daemon reads the store for its
+/// hall, else from a peer that does.
 pub async fn read_host_list(view: &Arc<View>) {
     let list = match check_store_reader(view) {
-        // By a list that is not complete nobody can tell who reads.
-        Err(peers) if view.fleet.size().is_some() => host_list_of_peers(view, &peers).await,
-        _ => host_list_of_store(view).await,
+        // An incomplete list does not show which daemons read the store.
+        Err(peers) if view.fleet.size().is_some() => fetch_from_peers(view, &peers).await,
+        _ => read_from_store_or_seeds(view).await,
     };
     match list {
         Some(list) => {
-            take_host_list(view, list);
+            apply_host_list(view, list);
             if view.revision() == 0 {
-                // Neighbours are known now, and may have the table.
+                // The peers that are known now may have the table.
                 view.fleet.heartbeat_now.notify_one();
             }
         }
-        None => slog::debug!(view.fleet.base.log, "host list not read"),
+        None => slog::debug!(view.fleet.base.log, "no new host list"),
     }
 }
 
-/// The host list as the store has it. Once more in a start of the whole fleet, in which
-/// everybody seems to be the first to read, or while the store is away: as a peer of the
-/// settings has it.
-async fn host_list_of_store(view: &Arc<View>) -> Option<HostList> {
+/// Reads the host list from the store. While the store is unavailable, and when the list is
+/// read again during a start of the whole fleet, in which each daemon ranks itself first as a
+/// reader, fetches it from a seed peer instead.
+async fn read_from_store_or_seeds(view: &Arc<View>) -> Option<HostList> {
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
     let is_away = view.fleet.connectivity.is_store_away(asked_at);
-    let is_told = view.fleet.store_read_policy().startup_wait() > 0;
-    if (is_known && is_told) || is_away {
-        let told = host_list_of_seeds(view).await;
-        if told.is_some() || is_away {
-            return told;
+    let waits_for_peers = view.fleet.store_read_policy().startup_wait() > 0;
+    if (is_known && waits_for_peers) || is_away {
+        let fetched = fetch_from_seed_peers(view).await;
+        if fetched.is_some() || is_away {
+            return fetched;
         }
     }
     match view.store.hosts().await {
@@ -90,39 +90,40 @@
             Some(HostList::new(read.hosts, asked_at as i64))
         }
         Err(e) => {
-            slog::info!(view.fleet.base.log, "host list not read"; "error" => %e);
-            // Peers of the settings are asked until the watch finds the store, or they do.
+            slog::info!(view.fleet.base.log, "failed to read host list from the store"; "error" => %e);
+            // Seed peers are asked until the watch of the servers, or a seed peer, reaches the
+            // store.
             view.fleet.connectivity.mark_store_unavailable();
             None
         }
     }
 }
 
-/// The host list of the first peer of the settings that has another one than is known.
-async fn host_list_of_seeds(view: &Arc<View>) -> Option<HostList> {
+/// Returns the host list of the first seed peer whose list differs from the known one.
+async fn fetch_from_seed_peers(view: &Arc<View>) -> Option<HostList> {
     let me = view.fleet.base.cfg.peer_address();
     for address in view.fleet.base.cfg.seed_peers.iter().filter(|seed| *seed != me) {
-        if let Ok(Some(list)) = host_list_of(view, address).await {
+        if let Ok(Some(list)) = fetch_from_peer(view, address).await {
             return Some(list);
         }
     }
     None
 }
 
-/// Whether this daemon reads the store for its hall; else the peers that do.
+/// Checks whether this daemon reads the store for its hall.
 ///
 /// # Errors
-/// The peers to ask instead.
+/// Returns the peers that read it instead.
 pub fn check_store_reader(view: &View) -> Result<(), Vec<Peer>> {
     let count = view.fleet.base.cfg.limits.store_readers;
     view.fleet.members.lock().check_store_reader(&view.fleet.base.cfg.hall, count)
 }
 
-/// The host list of the first of these peers that answers; none when it is the
-/// one known already.
-async fn host_list_of_peers(view: &Arc<View>, peers: &[Peer]) -> Option<HostList> {
+/// Returns the host list of the first of these peers that answers; none if it is the known one
+/// or no peer answers.
+async fn fetch_from_peers(view: &Arc<View>, peers: &[Peer]) -> Option<HostList> {
     for peer in peers {
-        match host_list_of(view, &peer.address).await {
+        match fetch_from_peer(view, &peer.address).await {
             Ok(list) => return list,
             Err(NoAnswer) => view.fleet.members.lock().record_failure(&peer.name),
         }
@@ -130,28 +131,27 @@
     None
 }
 
-/// A peer did not answer in time.
+/// Error: a peer did not answer in time.
 struct NoAnswer;
 
-/// The host list of the peer at this address; none when it is the one known already.
-async fn host_list_of(view: &Arc<View>, address: &str) -> Result<Option<HostList>, NoAnswer> {
+/// Returns the host list of the peer at this address; none if it is the known one.
+async fn fetch_from_peer(view: &Arc<View>, address: &str) -> Result<Option<HostList>, NoAnswer> {
     let known = view.hosts.load().hash;
     let timeout = Duration::from_millis(view.fleet.base.cfg.limits.peer_timeout_ms);
-    let ask = |client: crate::peer::PeerServiceClient, cx| async move {
+    let request = |client: crate::peer::PeerServiceClient, cx| async move {
         client.hosts_unless(cx, known).await
     };
     let asked_at = view.fleet.base.clock.now() as i64;
-    let told = view.fleet.base.peers.call(address, timeout, ask).await.ok_or(NoAnswer)?;
-    Ok(told.map(|told| HostList::new(told.hosts, asked_at - told.age_ms)))
+    let reply = view.fleet.base.peers.call(address, timeout, request).await.ok_or(NoAnswer)?;
+    Ok(reply.map(|reply| HostList::new(reply.hosts, asked_at - reply.age_ms)))
 }
 
-/// Takes a list, unless it is older than the one that is known: a peer that has lost the
-/// store still tells the list that it read last, and hosts that are there since then
-/// would be taken for gone.
-fn take_host_list(view: &Arc<View>, list: HostList) {
+/// Applies a list unless it is older than the known one: a peer that has lost the store still
+/// returns the list that it read last, and hosts added since then would count as removed.
+fn apply_host_list(view: &Arc<View>, list: HostList) {
     let known = view.hosts.load();
     if known.is_read() && list.read_at < known.read_at {
-        slog::info!(view.fleet.base.log, "older host list not taken"; "hosts" => list.hosts.len());
+        slog::info!(view.fleet.base.log, "ignoring an outdated host list"; "hosts" => list.hosts.len());
         return;
     }
     let hosts = &list.hosts;
@@ -165,15 +165,15 @@
     view.hosts.store(Arc::new(list));
 }
 
-/// The platform's host list as last read.
+/// The platform's host list with the time of its read.
 #[derive(Debug, Default)]
 pub struct HostList {
-    /// Hash of the lines; 0 before the first list.
+    /// Hash of the rows; 0 before the first list.
     pub hash: u64,
-    /// The lines.
+    /// The rows.
     pub hosts: Vec<Host>,
-    /// When the store was asked for them, by this daemon's clock, in milliseconds; below
-    /// 0 when that was before this daemon started.
+    /// Time at which the store was asked for them, by this daemon's clock, in milliseconds;
+    /// negative if that was before this daemon started.
     read_at: i64,
 }
 
@@ -187,21 +187,21 @@
         self.hash != 0
     }
 
-    /// Whether the store, asked at this time or later, named this host as it is now.
+    /// Whether the store, asked at `since` or later, listed exactly this row.
     pub fn contains_since(&self, host: &Host, since: i64) -> bool {
         self.read_at >= since && self.hosts.contains(host)
     }
 
-    /// Whether the store was asked for it at this time or later.
+    /// Whether the list was read from the store at `since` or later.
     pub fn is_read_since(&self, since: i64) -> bool {
         self.is_read() && self.read_at >= since
     }
 
-    /// The list for a peer that knows the one with `hash`; none when it is the same, or
-    /// none was read yet.
+    /// Returns the list for a peer that has the list with this `hash`; none if this list is the
+    /// same or was not read yet.
     pub fn unless_hash(&self, hash: u64, now: Millis) -> Option<HostListReply> {
-        let is_news = self.is_read() && self.hash != hash;
-        is_news
+        let is_new = self.is_read() && self.hash != hash;
+        is_new
             .then(|| HostListReply { hosts: self.hosts.clone(), age_ms: now as i64 - self.read_at })
     }
 }
--- a/crates/daemon/src/view/routing_table.rs
+++ b/crates/daemon/src/view/routing_table.rs
@@ -1,5 +1,5 @@
-//! The table that the router works by: the operators' rows, and what the platform's lists
-//! say of servers and halls as rows beside them.
+//! Builds the table for the router: the operators' rows, with further rows for the servers and
+//! halls of the platform's lists.
 
 use crate::view::View;
 use bankcove_core::hall_list::HallList;
@@ -7,9 +7,9 @@
 use bankcove_core::table::{Hall, ListedState, Server, ServerKind, ServerState, Table};
 use bankcove_core::{Millis, Name};
 
-/// Gives the router what the table and the lists say now.
+/// Hands the router the table in force combined with the current lists.
 pub fn refresh(view: &View) {
-    // The router's lock orders adoptions: a table read before it may be old.
+    // The router's lock serializes adoptions: a table loaded before locking may be outdated.
     let mut router = view.router.lock();
     let Some(table) = view.table.load_full() else { return };
     router.adopt(&with_platform_lists(view, &table));
@@ -19,13 +19,13 @@
         "version" => list.version().at, "drops" => list.version().drops, "servers" => list.servers().count(), "draining" => draining);
 }
 
-/// The table with what the platform's lists say as rows of it, for the router: servers,
+/// Returns the table with additional rows from the platform's lists, for the router: servers,
 /// and halls that take no new work.
 ///
 /// A listed server's pool is its service; its weight in the pool is one.
 pub fn with_platform_lists(view: &View, table: &Table) -> Table {
     let mut table = table.clone();
-    put_halls(view, &mut table);
+    merge_halls(view, &mut table);
     let halls = view.halls.lock().clone();
     let list = view.servers.lock();
     for (listed, cold_until) in list.servers_with_cold_until() {
@@ -36,20 +36,25 @@
     table
 }
 
-/// Until when a listed server is taken for cold: only where its service knows of that. The
-/// servers of a hall that takes work again may have turned cold while they had none, and
-/// their entries say so later than the hall is opened: 30 of them got 21 requests a second
-/// each where they bear 19.
-fn cold_until_of(table: &Table, halls: &HallList, listed: &ListedServer, told: Millis) -> Millis {
+/// Returns the time until which a listed server counts as cold; 0 if its service has no cold
+/// start. The servers of a reopened hall may have become cold while they had no work, and their
+/// entries report that only after the hall is reopened: without this rule 30 of them received
+/// 21 requests a second each, while each can serve 19.
+fn cold_until_of(
+    table: &Table,
+    halls: &HallList,
+    listed: &ListedServer,
+    listed_cold_until: Millis,
+) -> Millis {
     let Some(cold) = table.service(&listed.service).and_then(|row| row.cold_start) else {
         return 0;
     };
     let reopened = halls.reopened_at(&listed.hall).map_or(0, |at| at + cold.lasts_ms);
-    told.max(reopened)
+    listed_cold_until.max(reopened)
 }
 
-/// Puts the regions of the settings and the platform's evacuated halls to the rows of halls.
-fn put_halls(view: &View, table: &mut Table) {
+/// Merges the regions from the settings and the platform's evacuated halls into the hall rows.
+fn merge_halls(view: &View, table: &mut Table) {
     let evacuated = view.halls.lock().evacuated().halls.clone();
     let regions = view.fleet.base.cfg.entry.iter().flat_map(|entry| &entry.hall_regions);
     for (hall, region) in regions {
@@ -60,15 +65,17 @@
     }
 }
 
+/// Returns the row of this hall; adds one if there is none.
 fn hall_row<'a>(table: &'a mut Table, name: &Name) -> &'a mut Hall {
-    let place = table.halls.iter().position(|row| row.name == *name);
-    let place = place.unwrap_or_else(|| {
+    let index = table.halls.iter().position(|row| row.name == *name);
+    let index = index.unwrap_or_else(|| {
         table.halls.push(Hall::from_platform(name.clone()));
         table.halls.len() - 1
     });
-    &mut table.halls[place]
+    &mut table.halls[index]
 }
 
+/// Returns the table row for a listed server.
 fn row_of(listed: &ListedServer) -> Server {
     Server {
         name: listed.name.clone(),
--- a/crates/daemon/src/view/server_sync.rs
+++ b/crates/daemon/src/view/server_sync.rs
@@ -1,5 +1,5 @@
-//! The platform's list of backend servers: watched in the store, fetched from
-//! peers that know a newer one.
+//! Synchronizes the platform's list of backend servers: watches it in the store and fetches newer
+//! versions from peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::view::View;
 use crate::view::routing_table;
 
-/// Pause after a change, so that one call brings those that follow: at a start all
-/// servers write their entries within a second, in a release tens of them do.
+/// Pause after a change, so that one call returns the changes that follow: at startup of the
+/// fleet all servers write their entries within a second, in a release tens of them do.
 const CHANGE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Watches the list in the store, as long as this daemon does so for its hall,
-/// until the daemon ends.
+/// Watches the list in the store whenever this daemon reads the store itself, until the daemon
+/// ends.
 pub async fn watch(view: Arc<View>) {
     let mut at = 0;
-    let mut was_away = false;
+    let mut was_unavailable = false;
     let mut failures = 0;
     loop {
         let known = view.servers.lock().version();
         let peer_sync_pause = view.fleet.peer_sync_pause();
         if let Some(pause) = peer_sync_pause.filter(|_| known.is_some()) {
-            // Heartbeats tell of newer lists, and peers hand them over.
+            // Heartbeats announce newer lists, which are fetched from peers.
             at = known.at;
-            was_away = false;
-            // Peers reach the store: a look that fails from here on is the first.
+            was_unavailable = false;
+            // Peers reach the store, so the next failed call counts as the first.
             failures = 0;
             drop_expired(&view);
             view.fleet.connectivity.clear_store_unavailable();
@@ -43,7 +43,7 @@
             tokio::time::sleep(fleet::STARTUP_POLL).await;
             continue;
         }
-        // Entries that lapsed are dropped when their grace is over, not later.
+        // The watch ends in time to drop entries as soon as their grace period is over.
         let next_drop = view.servers.lock().next_drop(view.fleet.base.clock.now());
         let wait = next_drop
             .map_or(WATCH_TIMEOUT, |millis| WATCH_TIMEOUT.min(Duration::from_millis(millis)));
@@ -57,20 +57,20 @@
             Ok(Some(changes)) => {
                 failures = 0;
                 at = changes.at;
-                if take_changes(&view, asked_at, changes, std::mem::take(&mut was_away)) {
+                if apply_changes(&view, asked_at, changes, std::mem::take(&mut was_unavailable)) {
                     tokio::time::sleep(CHANGE_PAUSE).await;
                 }
             }
             Err(bankcove_ports::Error::HistoryGone { after }) => {
-                slog::info!(view.fleet.base.log, "servers listed anew: the store forgot its history"; "after" => after);
+                slog::info!(view.fleet.base.log, "re-reading server list: the store no longer has the history"; "after" => after);
                 at = 0;
             }
             Err(e) => {
                 view.fleet.connectivity.mark_store_unavailable();
-                if !std::mem::replace(&mut was_away, true) {
+                if !std::mem::replace(&mut was_unavailable, true) {
                     slog::warn!(view.fleet.base.log, "store lost"; "error" => %e);
                 }
-                // What was missed meanwhile is read as a whole list.
+                // Reads the full list next, as changes may be missed meanwhile.
                 at = 0;
                 failures += 1;
                 view.fleet.wait_for_store_probe(failures).await;
@@ -79,15 +79,21 @@
     }
 }
 
-/// Takes in what the store told; returns whether any server has changed.
-fn take_changes(view: &Arc<View>, asked_at: Millis, changes: ServerChanges, is_back: bool) -> bool {
+/// Applies a response of the store; returns whether any server has changed. `was_unavailable`
+/// tells whether the store failed to answer before: missing entries then get a grace period.
+fn apply_changes(
+    view: &Arc<View>,
+    asked_at: Millis,
+    changes: ServerChanges,
+    was_unavailable: bool,
+) -> bool {
     let now = view.fleet.base.clock.now();
     let was_current = view.fleet.is_current();
     view.fleet.connectivity.record_servers_read(view.fleet.watch_answer_time(asked_at));
     view.fleet.announce_if_current_again(was_current);
     view.unreadable.log_new(&view.fleet.base.log, "servers", &changes.unreadable);
     let mut list = view.servers.lock();
-    if is_back {
+    if was_unavailable {
         list.start_grace_period(now);
         slog::info!(view.fleet.base.log, "store regained"; "at" => changes.at);
     }
@@ -100,7 +106,7 @@
     changed
 }
 
-/// Drops entries whose grace is over, while peers tell of changes.
+/// Drops entries whose grace period is over, while this daemon learns of changes from peers.
 fn drop_expired(view: &Arc<View>) {
     let dropped = view.servers.lock().drop_expired(view.fleet.base.clock.now());
     if dropped {
@@ -109,29 +115,30 @@
     }
 }
 
-/// Fetches what a peer knows of the list beyond this daemon's version; all of it at once where
-/// the changes alone have not led to the peer's list.
+/// Fetches the changes of the list since this daemon's version from a peer. If applying them does
+/// not result in the peer's list, fetches the full list right away.
 pub async fn fetch_from_peer(view: &Arc<View>, address: &str) {
-    fetch_news(view, address).await;
+    fetch_update(view, address).await;
     if view.servers.lock().needs_full_list() {
         view.fleet.base.metrics.count("servers.list_doubtful");
-        slog::info!(view.fleet.base.log, "servers listed anew: changes led to another list"; "peer" => address);
-        fetch_news(view, address).await;
+        slog::info!(view.fleet.base.log, "fetching full server list: applying the changes did not result in the peer's list"; "peer" => address);
+        fetch_update(view, address).await;
     }
 }
 
-async fn fetch_news(view: &Arc<View>, address: &str) {
+/// Fetches one update from a peer and applies it.
+async fn fetch_update(view: &Arc<View>, address: &str) {
     let version = view.servers.lock().version_for_update();
     let fetch = |client: crate::peer::PeerServiceClient, cx| async move {
         client.servers_above(cx, version).await
     };
-    let Some(Some((version, news))) =
+    let Some(Some((version, update))) =
         view.fleet.base.peers.call(address, FETCH_TIMEOUT, fetch).await
     else {
         return;
     };
     let now = view.fleet.base.clock.now();
-    if view.servers.lock().apply_update(now, version, news) {
+    if view.servers.lock().apply_update(now, version, update) {
         routing_table::refresh(view);
     }
 }
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -1,4 +1,5 @@
-//! The table in force: watched in the store, fetched from peers, never older.
+//! Synchronizes the table in force: watches it in the store, fetches it from peers, and adopts
+//! only newer revisions. Applies edits to it.
 
 use std::sync::Arc;
 
@@ -13,32 +14,33 @@
 use crate::view::View;
 use crate::view::{orders, routing_table};
 
-/// Name of the one object that holds the table.
+/// Name of the store object that holds the table.
 pub const TABLE_NAME: &str = "main";
 
-/// Tries of an edit against racing ones and lost answers.
-const EDIT_TRIES: usize = 8;
+/// Maximum number of attempts to write an edit, which may conflict with concurrent edits or lose
+/// its response.
+const MAX_EDIT_ATTEMPTS: usize = 8;
 
 /// Why an edit was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum EditError {
-    /// The edit itself is at fault.
+    /// The edit is invalid.
     #[error(transparent)]
     Refused(#[from] bankcove_core::Error),
-    /// The store does not answer; the edit may or may not be accepted.
+    /// The store did not answer; the edit may or may not have been accepted.
     #[error(
         "the store does not answer, so it is not known whether the edit was accepted; send it again with the same change id"
     )]
     Unknown,
 }
 
-/// Puts a table in force, if it is newer than the one in force.
+/// Puts a table in force if its revision is newer than the current one.
 pub fn adopt(view: &Arc<View>, mut table: Table) {
     if let Some(entry) = &view.fleet.base.cfg.entry {
         entry.put_draw_policy(&mut table);
     }
     {
-        // The router's lock orders adoptions, so that none goes back.
+        // The router's lock serializes adoptions, so that none reverts a newer one.
         let mut router = view.router.lock();
         if table.revision <= view.revision() {
             return;
@@ -50,16 +52,16 @@
         view.table.store(Some(Arc::new(table)));
     }
     view.fleet.base.metrics.count("table.adopted");
-    // Others hear of the new revision at once, not at the next heartbeat.
+    // Announces the new revision at once, not with the next regular heartbeat.
     view.fleet.heartbeat_now.notify_one();
 }
 
-/// Watches the table in the store, as long as this daemon does so for its
-/// hall, until the daemon ends.
+/// Watches the table in the store whenever this daemon reads the store itself, until the daemon
+/// ends.
 pub async fn watch(view: Arc<View>) {
     let mut at = 0;
     loop {
-        // Heartbeats tell of new revisions, and peers hand them over.
+        // Otherwise heartbeats announce new revisions, which are fetched from peers.
         match view.fleet.next_watch_step(view.revision() > 0).await {
             WatchStep::ReadStore => {}
             WatchStep::Wait => continue,
@@ -84,7 +86,7 @@
                 }
             }
             Err(bankcove_ports::Error::HistoryGone { after }) => {
-                slog::info!(view.fleet.base.log, "table read anew: the store forgot its history"; "after" => after);
+                slog::info!(view.fleet.base.log, "re-reading table: the store no longer has the history"; "after" => after);
                 at = 0;
             }
             Err(e) => {
@@ -95,14 +97,14 @@
                     };
                     view.unreadable.log_new(&view.fleet.base.log, "table", &[entry]);
                 }
-                slog::debug!(view.fleet.base.log, "table not watched"; "error" => %e);
+                slog::debug!(view.fleet.base.log, "failed to watch table"; "error" => %e);
                 tokio::time::sleep(STORE_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Fetches the table from a peer that has a newer one.
+/// Fetches the table from a peer and adopts it if it is newer.
 pub async fn fetch_from_peer(view: &Arc<View>, address: &str) {
     let revision = view.revision();
     let fetch = |client: crate::peer::PeerServiceClient, cx| async move {
@@ -113,16 +115,20 @@
     };
     match packed.unpack() {
         Ok(table) => adopt(view, table),
-        Err(e) => slog::warn!(view.fleet.base.log, "a peer's table can't be read"; "error" => %e),
+        Err(e) => {
+            slog::warn!(view.fleet.base.log, "failed to unpack table received from a peer"; "error" => %e)
+        }
     }
 }
 
-/// Accepts an edit: it is in the store when this returns.
+/// Applies an edit to the table in the store and adopts the result; the edit is stored when this
+/// returns. An edit whose change id is already stored is not applied again.
 ///
 /// # Errors
-/// [`EditError`] tells whether the edit is at fault or its fate not known.
+/// Returns [`EditError::Refused`] if the edit is invalid, [`EditError::Unknown`] if it is not
+/// known whether it was stored.
 pub async fn edit(view: &Arc<View>, edit: &Edit) -> Result<Arc<Table>, EditError> {
-    for _ in 0..EDIT_TRIES {
+    for _ in 0..MAX_EDIT_ATTEMPTS {
         let Ok(read) = view.store.read::<Table>(Kind::Table, TABLE_NAME).await else {
             return Err(EditError::Unknown);
         };
@@ -137,7 +143,7 @@
                 adopt(view, next.clone());
                 return Ok(Arc::new(next));
             }
-            // Read again: the object tells whether this edit is in it.
+            // The next attempt reads the object again, which shows whether it contains this edit.
             WriteOutcome::Conflict(_) | WriteOutcome::Ambiguous => {}
             WriteOutcome::NotSent => return Err(EditError::Unknown),
         }
--- a/crates/daemon/src/view/unreadable.rs
+++ b/crates/daemon/src/view/unreadable.rs
@@ -1,4 +1,4 @@
-//! Entries of the store that can't be read: told once each, not at every look.
+//! Logs entries of the store that can't be parsed, each once instead of at every read.
 
 use std::collections::BTreeSet;
 
@@ -6,25 +6,25 @@
 use parking_lot::Mutex;
 use slog::Logger;
 
-/// Entries that are remembered; beyond that all are told again, so that a writer without
-/// end fills no memory.
-const REMEMBERED: usize = 1_000;
+/// Maximum number of remembered entries. When it is reached, all are forgotten and may be logged
+/// again, so that an endless stream of bad entries does not exhaust memory.
+const MAX_REMEMBERED: usize = 1_000;
 
-/// Entries that were told.
+/// Record of the entries that were logged.
 #[derive(Debug, Default)]
 pub struct UnreadableEntries {
-    told: Mutex<BTreeSet<(&'static str, Unreadable)>>,
+    logged: Mutex<BTreeSet<(&'static str, Unreadable)>>,
 }
 
 impl UnreadableEntries {
-    /// Tells of those entries of a kind that were not told yet.
+    /// Logs those entries of a `kind` that were not logged before.
     pub fn log_new(&self, log: &Logger, kind: &'static str, entries: &[Unreadable]) {
-        let mut told = self.told.lock();
+        let mut logged = self.logged.lock();
         for entry in entries {
-            if told.len() >= REMEMBERED {
-                told.clear();
+            if logged.len() >= MAX_REMEMBERED {
+                logged.clear();
             }
-            if told.insert((kind, entry.clone())) {
+            if logged.insert((kind, entry.clone())) {
                 let name = entry.name.as_ref().map(ToString::to_string);
                 slog::error!(log, "an entry of the store can't be read";
                     "kind" => kind, "name" => name, "problem" => &entry.problem);
