--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The other daemons: how many there are, where this one stands among them, and who asks the
-//! store.
+//! The fleet of daemons: its size, this daemon's rank in it, and which daemons read the store.
 //!
-//! Owns who is known, and whom this daemon has heard of late (`health`). Stands on `base` alone; all
-//! layers above are built on it. Heartbeats, which tell of all of them, are `membership`.
+//! Owns the list of known peers and the record of recent contact with peers and the store
+//! (`connectivity`). Depends on `base` alone; all layers above depend on it. The heartbeats, which
+//! maintain this state, are in `membership`.
 
 pub mod connectivity;
 pub mod query_throttle;
@@ -22,81 +22,83 @@
 use crate::base::Base;
 use crate::fleet::connectivity::Connectivity;
 
-/// Pause between two looks whether peers still tell of changes.
-const TOLD_POLL: Duration = Duration::from_millis(200);
+/// Interval of checks whether this daemon still learns of changes from peers.
+const PEER_SYNC_POLL: Duration = Duration::from_millis(200);
 
-/// Pause between two looks while a start waits to be handed by peers what they know.
+/// Poll interval while a starting daemon waits to receive the store's state from peers.
 pub const STARTUP_POLL: Duration = Duration::from_millis(20);
 
-/// Longest watch of anything in the store. A cut path shows only when an answer does not
-/// come, so this is also how long a cut may go unnoticed.
+/// Longest duration of one watch call to the store. A lost connection shows only when no response
+/// arrives, so this is also how long it may go unnoticed.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest time from asking for a watch to its answer, in milliseconds: what the adapter
-/// waits beyond it is 0.7 s, and 0.3 s more for a connection.
+/// Longest time from the start of a watch call to its response, in milliseconds: the adapter
+/// waits 0.7 s beyond the duration of the watch, and 0.3 s more for a connection.
 const WATCH_ANSWER_TIMEOUT_MS: Millis = WATCH_TIMEOUT.as_millis() as Millis + 1_000;
 
-/// Pause of a watch after the store did not answer it.
+/// Pause after a failed watch call.
 pub const STORE_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Pause between two looks whether the store is back.
-const AWAY_POLL: Duration = Duration::from_millis(100);
+/// Interval of checks whether an unavailable store is available again.
+const UNAVAILABLE_POLL: Duration = Duration::from_millis(100);
 
-/// What a daemon that follows something in the store does next.
+/// Next step of a task that follows an object or list of the store.
 pub enum WatchStep {
-    /// It asks the store.
+    /// Read the store.
     ReadStore,
-    /// Peers tell it, or the store is away: it looks again.
+    /// Check again: peers provide the changes, or the store is unavailable.
     Wait,
-    /// The daemon ends.
+    /// Stop, since the daemon ends.
     Stop,
 }
 
-/// Who the other daemons are, as this one knows it; copies share it.
+/// This daemon's view of the fleet; clones share it.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    /// What it stands on.
+    /// The layer below: configuration, clock, log, metrics and connections.
     pub base: Base,
     /// The other daemons.
     pub members: Arc<Mutex<Members>>,
-    /// Whom this daemon has heard of late.
+    /// Recent contact with peers and the store.
     pub connectivity: Arc<Connectivity>,
-    /// Told when peers are to hear at once of what this daemon knows.
+    /// Notified to send heartbeats at once, which announce this daemon's state to peers.
     pub heartbeat_now: Arc<Notify>,
 }
 
 impl Fleet {
-    /// A fleet of which nobody is known yet.
+    /// Creates a view without known peers.
     pub fn new(base: Base) -> Self {
         let members = Arc::new(Mutex::new(Members::new(base.cfg.name.clone())));
         let connectivity = Arc::new(Connectivity::new(base.cfg.follows_evacuations()));
         Fleet { base, members, connectivity, heartbeat_now: Arc::default() }
     }
 
-    /// When the answer that has just come to a watch was true at the latest.
+    /// Returns the time as of which the response to a watch, which has just arrived, counts as
+    /// current; see [`answer_time`].
     pub fn watch_answer_time(&self, asked_at: Millis) -> Millis {
         answer_time(asked_at, self.base.clock.now(), WATCH_ANSWER_TIMEOUT_MS)
     }
 
-    /// How many daemons the fleet has, by the platform's list; none while the list that is
-    /// known may be that of a fleet which is still starting.
+    /// Returns the number of daemons in the fleet, by the platform's list; none while the list may
+    /// be that of a fleet that is still starting.
     pub fn size(&self) -> Option<usize> {
         match self.members.lock().fleet_size() {
             FleetSize::Listed(size) => Some(size),
-            // Settings that name nobody else are those of no fleet that starts as a whole.
+            // Settings without other seed peers are not those of a fleet that starts as a whole.
             FleetSize::AtLeast(size) => (!self.base.cfg.has_other_seeds()).then_some(size),
             FleetSize::Unknown => None,
         }
     }
 
-    /// Whether each daemon writes by itself. Never by how many peers answer now: hundreds of
-    /// daemons that had all started anew took themselves for a small fleet, and fought over
-    /// four ledgers for 15 s.
+    /// Whether the fleet is so small that each daemon writes to the store by itself. Does not
+    /// depend on how many peers answer now: hundreds of daemons that had all restarted took
+    /// themselves for a small fleet, and their writes to four ledgers conflicted for 15 s.
     pub fn is_small(&self) -> bool {
         self.size().is_some_and(|size| size <= self.base.cfg.limits.direct_daemons)
     }
 
-    /// Where this daemon stands among those that could read the store for its hall.
+    /// Returns the policy by which this daemon reads the store, with its rank among the possible
+    /// readers of its hall.
     pub fn store_read_policy(&self) -> StoreReadPolicy {
         let me = self.base.cfg.peer_address();
         let fleet = self.size();
@@ -110,28 +112,29 @@
         }
     }
 
-    /// Whether peers tell this daemon of changes in the store, so that it need not
-    /// ask itself: others of its hall do, and their word is recent.
+    /// Whether this daemon learns of changes in the store from peers and need not read it: other
+    /// daemons of its hall do, and its view is recent.
     pub fn is_synced_by_peers(&self) -> bool {
         self.time_until_stale().is_some()
     }
 
-    /// How much longer the word of peers is recent enough; none when this daemon asks the store
+    /// Returns the time for which this daemon still relies on peers; none if it reads the store
     /// itself.
     fn time_until_stale(&self) -> Option<Duration> {
         let view_age = self.connectivity.view_age(self.base.clock.now());
         self.store_read_policy().time_until_stale(view_age).map(Duration::from_millis)
     }
 
-    /// Pause before it looks again whether peers still tell this daemon of changes, and no longer
-    /// than their word is recent; none when it asks the store itself.
+    /// Returns the pause until the next check whether this daemon still learns of changes from
+    /// peers, at most the time for which it relies on them; none if it reads the store itself.
     pub fn peer_sync_pause(&self) -> Option<Duration> {
-        self.time_until_stale().map(|left| left.min(TOLD_POLL))
+        self.time_until_stale().map(|left| left.min(PEER_SYNC_POLL))
     }
 
-    /// Waits for a moment when the store need not be asked: peers tell of it, will do so soon,
-    /// or it is away, which the watch of the servers finds out. `is_known` tells whether what
-    /// is followed was told once.
+    /// Returns the next step of a task that follows something in the store. Pauses first if the
+    /// store need not be read: peers provide the changes or will do so soon, or the store is
+    /// unavailable, which the watch of the servers detects. `is_known` tells whether the followed
+    /// object or list was received before.
     pub async fn next_watch_step(&self, is_known: bool) -> WatchStep {
         let peer_sync_pause = self.peer_sync_pause().filter(|_| is_known);
         let pause = if let Some(pause) = peer_sync_pause {
@@ -139,7 +142,7 @@
         } else if self.is_in_startup_wait() {
             STARTUP_POLL
         } else if self.connectivity.is_store_away(self.base.clock.now()) {
-            AWAY_POLL
+            UNAVAILABLE_POLL
         } else {
             return WatchStep::ReadStore;
         };
@@ -149,35 +152,37 @@
         }
     }
 
-    /// Whether this start still waits to be handed by peers what the store would tell.
+    /// Whether this daemon has just started and still waits to receive the store's state from
+    /// peers.
     pub fn is_in_startup_wait(&self) -> bool {
         self.base.clock.now() < self.store_read_policy().startup_wait()
     }
 
-    /// Whether what this daemon knows of the table and the servers is recent enough for those
-    /// that it is told by peers.
+    /// Whether this daemon's view of the table and the lists is recent enough for a daemon that
+    /// learns of changes from peers.
     pub fn is_current(&self) -> bool {
         !self.connectivity.is_view_older_than(STALE_VIEW_MS, self.base.clock.now())
     }
 
-    /// Tells neighbours at once when this daemon has become current again: after an outage the
-    /// word of one reader is with 300 daemons in some 50 ms, in place of 1.5 s by heartbeats,
-    /// before most of them have asked the store themselves.
+    /// Triggers heartbeats if this daemon has become current again: after an outage the state read
+    /// by one reader then reaches 300 daemons in some 50 ms, instead of 1.5 s with regular
+    /// heartbeats, before most of them have read the store themselves. `was_current` is the
+    /// result of [`Fleet::is_current`] before the update.
     pub fn announce_if_current_again(&self, was_current: bool) {
         if !was_current && self.is_current() {
             self.heartbeat_now.notify_one();
         }
     }
 
-    /// Waits, after so many `failures` in a row, until it is time to look whether the store is
-    /// back, or peers tell of it.
+    /// Waits, after this many consecutive `failures`, until the next probe of the store is due or
+    /// this daemon learns of changes from peers.
     pub async fn wait_for_store_probe(&self, failures: u32) {
         let pause = self.store_read_policy().probe_interval(failures, rand::random());
         let until = self.base.clock.now() + pause;
         loop {
             let left = self.base.clock.left(until);
             tokio::select! {
-                () = tokio::time::sleep(left.min(TOLD_POLL)) => {}
+                () = tokio::time::sleep(left.min(PEER_SYNC_POLL)) => {}
                 () = self.base.ended.cancelled() => return,
             }
             if self.base.clock.now() >= until || self.is_synced_by_peers() {
--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -1,8 +1,7 @@
-//! Whom this daemon has heard of late, and what follows for backend servers
-//! that would not refuse work by themselves.
+//! Recent contact with peers and the store, and whether this daemon is isolated.
 //!
-//! A daemon that hears from nobody can't know of a drain. It stops giving new
-//! work to servers that check no orders; servers that do refuse by themselves.
+//! An isolated daemon can't learn that a server is draining. It stops sending new work to servers
+//! that check no orders; servers that check them refuse work by themselves.
 
 use std::collections::VecDeque;
 
@@ -10,151 +9,158 @@
 use bankcove_core::freshness::Freshness;
 use parking_lot::Mutex;
 
-/// Heartbeats whose outcome is remembered.
-const REMEMBERED: usize = 16;
+/// Number of heartbeats whose outcome is remembered.
+const MAX_OUTCOMES: usize = 16;
 
-/// Fewest heartbeats that say anything.
-const ENOUGH: usize = 4;
+/// Smallest number of heartbeats from which isolation is judged; with fewer this daemon counts as
+/// isolated unless the store has answered.
+const MIN_OUTCOMES: usize = 4;
 
-/// Calls of peers without an answer, one after the other, after which this daemon
-/// seems to be the one that is cut off.
-const ALONE_AFTER: usize = 4;
+/// Number of consecutive heartbeats without an answer after which this daemon itself seems to be
+/// cut off.
+const CUT_OFF_AFTER_FAILURES: usize = 4;
 
-/// How long the store is left alone after a single call failed, in milliseconds.
-const STORE_PAUSE_MS: Millis = 500;
+/// Time for which the store is not called after a single failed call, in milliseconds.
+const STORE_FAILURE_PAUSE_MS: Millis = 500;
 
 #[derive(Debug, Default)]
 struct State {
-    store_heard: Option<Millis>,
+    store_answered_at: Option<Millis>,
     store_lost: bool,
-    store_silent_until: Millis,
+    store_paused_until: Millis,
     heartbeats: VecDeque<bool>,
     view: Freshness,
 }
 
 impl State {
     fn is_cut_off_from_peers(&self) -> bool {
-        let last = self.heartbeats.iter().rev().take(ALONE_AFTER);
-        self.heartbeats.len() >= ALONE_AFTER && last.into_iter().all(|answered| !answered)
+        let last = self.heartbeats.iter().rev().take(CUT_OFF_AFTER_FAILURES);
+        self.heartbeats.len() >= CUT_OFF_AFTER_FAILURES
+            && last.into_iter().all(|answered| !answered)
     }
 }
 
-/// Contact with the store and with peers.
+/// Record of recent contact with peers and the store.
 #[derive(Debug, Default)]
 pub struct Connectivity {
     state: Mutex<State>,
 }
 
 impl Connectivity {
-    /// Nobody was heard yet. `follows_halls` as in [`Freshness::new`].
+    /// Creates a record without contact. `follows_halls` as in [`Freshness::new`].
     pub fn new(follows_halls: bool) -> Self {
         let state = State { view: Freshness::new(follows_halls), ..State::default() };
         Connectivity { state: Mutex::new(state) }
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub fn record_store_answer(&self, now: Millis) {
         let mut state = self.state.lock();
-        state.store_heard = Some(now);
+        state.store_answered_at = Some(now);
         state.store_lost = false;
-        state.store_silent_until = 0;
+        state.store_paused_until = 0;
     }
 
-    /// The store told the table in force.
+    /// Records that the table was read from the store.
     pub fn record_table_read(&self, now: Millis) {
         self.state.lock().view.record_table_read(now);
         self.record_store_answer(now);
     }
 
-    /// The store told the list of servers.
+    /// Records that the server list was read from the store.
     pub fn record_servers_read(&self, now: Millis) {
         self.state.lock().view.record_servers_read(now);
         self.record_store_answer(now);
     }
 
-    /// The store told the halls that take no new work.
+    /// Records that the list of evacuated halls was read from the store.
     pub fn record_halls_read(&self, now: Millis) {
         self.state.lock().view.record_halls_read(now);
         self.record_store_answer(now);
     }
 
-    /// This daemon knows all that a peer knew when its view was this old.
-    pub fn record_peer_sync(&self, now: Millis, age: Millis) {
-        self.state.lock().view.record_peer_sync(now, age);
+    /// Records that this daemon has all versions of a peer which, asked at `asked_at`, reported a
+    /// view of this `age`.
+    pub fn record_peer_sync(&self, asked_at: Millis, age: Millis) {
+        self.state.lock().view.record_peer_sync(asked_at, age);
     }
 
-    /// How old the table and the list of servers may be.
+    /// Returns the greatest possible age of the view, in milliseconds; none before all parts of it
+    /// were received.
     pub fn view_age(&self, now: Millis) -> Option<Millis> {
         self.state.lock().view.age(now)
     }
 
-    /// Whether the table or the list of servers may be older than `limit`.
+    /// Whether the view may be older than `limit`; true before all parts of it were received.
     pub fn is_view_older_than(&self, limit: Millis, now: Millis) -> bool {
         self.state.lock().view.is_older_than(limit, now)
     }
 
-    /// The watch of the store failed: until it answers again, only the watch
-    /// asks it. Calls of a store that is away are paid for too.
+    /// Records that the watch of the store failed. Until the store answers again, only the watch
+    /// calls it: calls of an unavailable store are charged too.
     pub fn mark_store_unavailable(&self) {
         self.state.lock().store_lost = true;
     }
 
-    /// This daemon learns of the store from peers now: whether the store is there
-    /// shows when it is asked.
+    /// Records that this daemon now learns of changes from peers instead of watching the store.
+    /// Other calls may then show whether the store is available.
     pub fn clear_store_unavailable(&self) {
         self.state.lock().store_lost = false;
     }
 
-    /// A single call failed: the store is left alone for a moment.
+    /// Records that a single call failed; the store is not called for a short time.
     pub fn record_store_failure(&self, now: Millis) {
-        self.state.lock().store_silent_until = now + STORE_PAUSE_MS;
+        self.state.lock().store_paused_until = now + STORE_FAILURE_PAUSE_MS;
     }
 
-    /// Whether the store is not worth asking now.
+    /// Whether the store counts as unavailable and should not be called now.
     pub fn is_store_away(&self, now: Millis) -> bool {
         let state = self.state.lock();
-        state.store_lost || now < state.store_silent_until
+        state.store_lost || now < state.store_paused_until
     }
 
-    /// A peer says that the store answered somebody this long ago.
+    /// Records that the store answered a peer, or a daemon that the peer is in contact with, this
+    /// `age` before `now`.
     pub fn record_peer_store_age(&self, now: Millis, age: Option<Millis>) {
-        let Some(heard) = age.map(|age| now.saturating_sub(age)) else { return };
+        let Some(answered_at) = age.map(|age| now.saturating_sub(age)) else { return };
         let mut state = self.state.lock();
-        state.store_heard = state.store_heard.max(Some(heard));
+        state.store_answered_at = state.store_answered_at.max(Some(answered_at));
     }
 
-    /// How long ago the store answered this daemon or a peer in contact.
+    /// Returns the time since the store last answered this daemon or a peer that it is in contact
+    /// with, in milliseconds.
     pub fn store_age(&self, now: Millis) -> Option<Millis> {
-        self.state.lock().store_heard.map(|at| now.saturating_sub(at))
+        self.state.lock().store_answered_at.map(|at| now.saturating_sub(at))
     }
 
-    /// A heartbeat was answered, or not. Returns whether this daemon seems to
-    /// have been cut off from all peers until now.
+    /// Records whether a heartbeat was answered. Returns whether this is the first answer after
+    /// this daemon seemed to be cut off from all peers.
     pub fn record_heartbeat_outcome(&self, answered: bool) -> bool {
         let mut state = self.state.lock();
-        let was_alone = state.is_cut_off_from_peers();
+        let was_cut_off = state.is_cut_off_from_peers();
         state.heartbeats.push_back(answered);
-        if state.heartbeats.len() > REMEMBERED {
+        if state.heartbeats.len() > MAX_OUTCOMES {
             state.heartbeats.pop_front();
         }
-        was_alone && answered
+        was_cut_off && answered
     }
 
-    /// Whether no peer has answered of late.
+    /// Whether none of the last heartbeats was answered.
     pub fn is_cut_off_from_peers(&self) -> bool {
         self.state.lock().is_cut_off_from_peers()
     }
 
-    /// Whether this daemon may be cut off from where drains are accepted: no
-    /// word from the store for `limit` and most peers silent.
+    /// Whether this daemon may be cut off from where drains are accepted: the store has not answered
+    /// for more than `limit` milliseconds, and most of the last heartbeats were not answered.
     pub fn is_isolated(&self, now: Millis, limit: Millis) -> bool {
         let state = self.state.lock();
-        let store_is_near = state.store_heard.is_some_and(|at| now.saturating_sub(at) <= limit);
-        if store_is_near {
+        let is_store_recent =
+            state.store_answered_at.is_some_and(|at| now.saturating_sub(at) <= limit);
+        if is_store_recent {
             return false;
         }
         let answered = state.heartbeats.iter().filter(|answered| **answered).count();
         let known = state.heartbeats.len();
-        known < ENOUGH || answered * 2 <= known
+        known < MIN_OUTCOMES || answered * 2 <= known
     }
 }
--- a/crates/daemon/src/fleet/query_throttle.rs
+++ b/crates/daemon/src/fleet/query_throttle.rs
@@ -1,25 +1,25 @@
-//! How often a daemon asks others for all that they know.
+//! Limits how often a daemon queries peers for all of their records.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use bankcove_core::Millis;
 
-/// Keeps questions apart whose answers may be long.
+/// Enforces a minimum interval between queries whose responses may be large.
 #[derive(Debug, Default)]
 pub struct QueryThrottle {
-    /// When the last one was asked; 0 before the first.
-    asked_at: AtomicU64,
+    /// Time of the last query; 0 before the first.
+    last_query_at: AtomicU64,
 }
 
 impl QueryThrottle {
-    /// Whether a question may be asked now, at least `pause` milliseconds after the last one; it
-    /// counts as asked then.
-    pub fn try_acquire(&self, now: Millis, pause: Millis) -> bool {
-        let asked_at = self.asked_at.load(Ordering::Relaxed);
-        let may_ask = asked_at == 0 || now.saturating_sub(asked_at) >= pause;
-        if may_ask {
-            self.asked_at.store(now.max(1), Ordering::Relaxed);
+    /// Returns whether a query may be sent now, at least `min_interval` milliseconds after the last
+    /// one; if so, records it as sent.
+    pub fn try_acquire(&self, now: Millis, min_interval: Millis) -> bool {
+        let last_query_at = self.last_query_at.load(Ordering::Relaxed);
+        let is_allowed = last_query_at == 0 || now.saturating_sub(last_query_at) >= min_interval;
+        if is_allowed {
+            self.last_query_at.store(now.max(1), Ordering::Relaxed);
         }
-        may_ask
+        is_allowed
     }
 }
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -1,29 +1,30 @@
-//! Notices that the host was suspended, so that what waits looks at the clock anew.
+//! Detects that the host was suspended, so that waiting tasks check their deadlines again.
 
 use std::time::Duration;
 
 use crate::fleet::Fleet;
 
-/// Pause between two looks: a caller's deadline is missed by this at most after a wake.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval of the checks: after a wake a caller's deadline is missed by at most this time.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shorter differences of the two clocks are those of reading them one after the other.
-const LEAST: Duration = Duration::from_millis(20);
+/// Shortest suspension that is reported: smaller differences between the two clocks come from
+/// reading them one after the other.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Looks until the daemon ends.
+/// Checks for suspensions until the daemon ends, and wakes waiting tasks after each.
 pub async fn watch(fleet: Fleet) {
-    let mut known = fleet.base.clock.suspended();
+    let mut known_suspended = fleet.base.clock.suspended();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = fleet.base.ended.cancelled() => return,
         }
         let suspended = fleet.base.clock.suspended();
-        let since = suspended.saturating_sub(known);
-        if since >= LEAST {
-            known = suspended;
+        let newly_suspended = suspended.saturating_sub(known_suspended);
+        if newly_suspended >= MIN_SUSPENSION {
+            known_suspended = suspended;
             fleet.base.metrics.count("host.suspended");
-            slog::warn!(fleet.base.log, "host was suspended"; "for_ms" => since.as_millis() as u64,
+            slog::warn!(fleet.base.log, "host was suspended"; "for_ms" => newly_suspended.as_millis() as u64,
                 "view_age_ms" => fleet.connectivity.view_age(fleet.base.clock.now()));
             fleet.base.clock.wake();
         }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,8 +1,9 @@
-//! Heartbeats, and what they tell of others.
+//! Heartbeats between daemons, and the synchronization that they trigger.
 //!
-//! Owns the rounds of heartbeats and what is told between them (`unread_reports`). May call `view`,
-//! `crashes`, `limits`, `fleet` and peers; called by `peer_server` and the start. What is to be
-//! told at once reaches it by the notice in `fleet`, so that the layers below need not call it.
+//! Owns the rounds of heartbeats and the reports sent between them (`unread_reports`). May call
+//! `view`, `crashes`, `hints`, `fleet` and peers; called by `peer_server` and the startup code. The
+//! layers below trigger heartbeats by a notification in `fleet`, so that they need not call this
+//! one.
 
 pub mod unread_reports;
 
@@ -21,18 +22,19 @@
 use crate::hints::Hints;
 use crate::view::{View, hall_sync, server_sync, table_sync};
 
-/// Servers whose pace one heartbeat tells: some 100 bytes. A daemon hears twelve
-/// heartbeats a second, so that one of 140 servers is told of every 3 s.
+/// Number of servers whose pace one heartbeat reports, in some 100 bytes. A daemon receives twelve
+/// heartbeats a second, so that it gets a report on each of 140 servers every 3 s.
 const PACES_PER_HEARTBEAT: usize = 4;
 
-/// Pause between two rounds of greetings while a start waits for a table.
-const GREET_RETRY: Duration = Duration::from_millis(150);
+/// Pause between two rounds of heartbeats to the seed peers while a starting daemon waits for a
+/// table.
+const SEED_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Fetches of the table, or of the list, at once: a second peer is asked when the
-/// first is slow or gone.
-const FETCHES: usize = 2;
+/// Maximum number of concurrent fetches of the table, and of the server list: a second peer is
+/// asked if the first is slow or down.
+const MAX_FETCHES: usize = 2;
 
-/// Bounds how often the same news are fetched at once.
+/// Limits concurrent fetches of the same object from several peers.
 #[derive(Debug)]
 pub struct Fetches {
     table: Semaphore,
@@ -41,30 +43,31 @@
 
 impl Default for Fetches {
     fn default() -> Self {
-        Fetches { table: Semaphore::new(FETCHES), servers: Semaphore::new(FETCHES) }
+        Fetches { table: Semaphore::new(MAX_FETCHES), servers: Semaphore::new(MAX_FETCHES) }
     }
 }
 
-/// What takes part in heartbeats.
+/// State that heartbeats announce and update.
 pub struct Membership {
-    /// The other daemons.
+    /// This daemon's view of the fleet.
     pub fleet: Fleet,
-    /// What this daemon knows of the platform.
+    /// This daemon's view of the table and of the platform's lists.
     pub view: Arc<View>,
-    /// What it knows of crashes.
+    /// Records of crashes.
     pub crashes: Arc<Crashes>,
-    /// What it knows of limits.
+    /// Limits and other signals of backend servers.
     pub hints: Arc<Hints>,
-    /// Told when what servers have to read for this daemon has changed.
+    /// Notified when the number of prompt tokens that servers still have to read for this daemon
+    /// has changed.
     pub unread_changed: Arc<Notify>,
-    /// Rounds of news of that which were told to peers.
-    news_told: AtomicU64,
+    /// Number of reports on unread prompt tokens that were sent to peers.
+    unread_reports_sent: AtomicU64,
     fetches: Fetches,
     stopping: CancellationToken,
 }
 
 impl Membership {
-    /// Nothing was told yet.
+    /// Creates the state before the first heartbeat.
     pub fn new(
         view: Arc<View>,
         crashes: Arc<Crashes>,
@@ -77,17 +80,17 @@
             crashes,
             hints,
             unread_changed: Arc::default(),
-            news_told: AtomicU64::new(0),
+            unread_reports_sent: AtomicU64::new(0),
             fetches: Fetches::default(),
             stopping,
         }
     }
 
-    /// What this daemon says of itself.
+    /// Returns a heartbeat that describes this daemon's current state.
     pub fn heartbeat(&self) -> Heartbeat {
-        // One lock after the other: a guard within the value below would be kept until
-        // its end, and an adoption, which takes these two the other way round, would wait
-        // for this heartbeat as it waits for the adoption.
+        // Takes one lock after the other. A guard within the struct literal below would be held
+        // until its end and could deadlock with an adoption, which takes these two locks in the
+        // opposite order.
         let servers_version = self.view.servers.lock().version();
         let evacuated = self.view.halls.lock().evacuated().clone();
         let first_pace = rand::random_range(0..usize::MAX);
@@ -110,44 +113,47 @@
     }
 }
 
-/// Takes in a heartbeat that a peer sent by itself. How long it was under way is not known,
-/// so that the ages in it say nothing: counted from when they are taken in they grew by less
-/// than time passes, and a fleet that was cut from the store never noticed. A sender that
-/// seems to be current when this daemon is not is asked.
+/// Processes a heartbeat that a peer sent as a request. Its transmission time is unknown, so the
+/// ages in it are not used: counted from their receipt, they grew more slowly than time passed,
+/// and a fleet that was cut off from the store never noticed. If the sender seems to be current
+/// and this daemon is not, this daemon sends it a heartbeat in turn, whose response has usable
+/// ages.
 pub fn handle_heartbeat(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
-    take_in(membership, heartbeat);
+    merge_heartbeat(membership, heartbeat);
     let seems_current = heartbeat.view_age_ms.is_some_and(|age| age < STALE_VIEW_MS);
     let (membership, heartbeat) = (Arc::clone(membership), heartbeat.clone());
-    if knows_all_of(&membership, &heartbeat) && (!seems_current || membership.fleet.is_current()) {
+    if is_synced_with(&membership, &heartbeat) && (!seems_current || membership.fleet.is_current())
+    {
         return;
     }
     tokio::spawn(async move {
-        fetch_news(&membership, &heartbeat).await;
+        fetch_newer(&membership, &heartbeat).await;
         if seems_current && !membership.fleet.is_current() {
-            greet(&membership, &heartbeat.address).await;
+            send_heartbeat_to(&membership, &heartbeat.address).await;
         }
     });
 }
 
-/// Takes in a peer's answer to a heartbeat that was sent at `asked_at`: no age in it is
-/// younger than from then.
-fn answered(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
-    take_in(membership, heartbeat);
+/// Processes a peer's response to a heartbeat sent at `asked_at`. The ages in it are counted from
+/// then, so they are not underestimated.
+fn handle_response(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
+    merge_heartbeat(membership, heartbeat);
     membership.fleet.connectivity.record_peer_store_age(asked_at, heartbeat.store_heard_ms);
-    if knows_all_of(membership, heartbeat) {
-        caught_up(membership, heartbeat, asked_at);
+    if is_synced_with(membership, heartbeat) {
+        record_peer_sync(membership, heartbeat, asked_at);
         return;
     }
     let (membership, heartbeat) = (Arc::clone(membership), heartbeat.clone());
     tokio::spawn(async move {
-        fetch_news(&membership, &heartbeat).await;
-        if knows_all_of(&membership, &heartbeat) {
-            caught_up(&membership, &heartbeat, asked_at);
+        fetch_newer(&membership, &heartbeat).await;
+        if is_synced_with(&membership, &heartbeat) {
+            record_peer_sync(&membership, &heartbeat, asked_at);
         }
     });
 }
 
-fn take_in(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
+/// Merges the parts of a heartbeat that are valid however long it was in transit.
+fn merge_heartbeat(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     hall_sync::merge_from_peer(&membership.view, &heartbeat.evacuated);
     membership.crashes.heard_digest(&heartbeat.address, heartbeat.crashes_digest);
     membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
@@ -155,21 +161,24 @@
     membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
 
-/// Whether this daemon's table and list are no older than the sender's.
-fn knows_all_of(membership: &Membership, heartbeat: &Heartbeat) -> bool {
+/// Whether this daemon's table and server list are no older than the sender's.
+fn is_synced_with(membership: &Membership, heartbeat: &Heartbeat) -> bool {
     let servers_version = membership.view.servers.lock().version();
     heartbeat.revision <= membership.view.revision() && heartbeat.servers_version <= servers_version
 }
 
-fn caught_up(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
+/// Records that this daemon has all versions of a peer that answered a heartbeat sent at
+/// `asked_at`.
+fn record_peer_sync(membership: &Arc<Membership>, heartbeat: &Heartbeat, asked_at: Millis) {
     let Some(age) = heartbeat.view_age_ms else { return };
     let was_current = membership.fleet.is_current();
     membership.fleet.connectivity.record_peer_sync(asked_at, age);
     membership.fleet.announce_if_current_again(was_current);
 }
 
-/// Fetches what the sender of a heartbeat knows newer.
-async fn fetch_news(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
+/// Fetches the table and the server list from the sender of a heartbeat where its versions are
+/// newer.
+async fn fetch_newer(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     if heartbeat.revision > membership.view.revision()
         && let Ok(_running) = membership.fetches.table.try_acquire()
     {
@@ -182,7 +191,8 @@
     }
 }
 
-/// Sends heartbeats until the daemon ends.
+/// Sends a round of heartbeats at each interval, and removes expired records, until the daemon
+/// ends.
 pub async fn send_heartbeats(membership: Arc<Membership>) {
     let interval = Duration::from_millis(membership.fleet.base.cfg.limits.heartbeat_ms);
     loop {
@@ -197,8 +207,8 @@
     }
 }
 
-/// Sends a round whenever peers are to hear at once, until the daemon ends. One that waits for a
-/// silent peer delays no other.
+/// Sends an additional round of heartbeats whenever one is triggered, until the daemon ends. A
+/// round that waits for a silent peer delays no other round.
 pub async fn send_triggered_heartbeats(membership: Arc<Membership>) {
     loop {
         tokio::select! {
@@ -214,55 +224,58 @@
 pub async fn send_round(membership: &Arc<Membership>) {
     let fanout = membership.fleet.base.cfg.limits.heartbeat_fanout;
     let targets = membership.fleet.members.lock().heartbeat_targets(fanout, rand::random());
-    futures::future::join_all(targets.iter().map(|peer| beat_one(membership, peer))).await;
+    futures::future::join_all(targets.iter().map(|peer| send_heartbeat(membership, peer))).await;
 }
 
-async fn beat_one(membership: &Arc<Membership>, peer: &Peer) {
+/// Sends a heartbeat to a peer, processes the response and records whether there was one.
+async fn send_heartbeat(membership: &Arc<Membership>, peer: &Peer) {
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.peer_timeout_ms);
     let mine = membership.heartbeat();
-    let beat = |client: crate::peer::PeerServiceClient, cx| async move {
+    let request = |client: crate::peer::PeerServiceClient, cx| async move {
         client.heartbeat(cx, mine).await
     };
     let asked_at = membership.fleet.base.clock.now();
-    let answer = membership.fleet.base.peers.call(&peer.address, timeout, beat).await;
-    if membership.fleet.connectivity.record_heartbeat_outcome(answer.is_some()) {
+    let response = membership.fleet.base.peers.call(&peer.address, timeout, request).await;
+    if membership.fleet.connectivity.record_heartbeat_outcome(response.is_some()) {
         slog::info!(membership.fleet.base.log, "peers regained"; "first" => %peer.name);
         membership.fleet.members.lock().clear_failures();
     }
-    match answer {
-        Some(heartbeat) => answered(membership, &heartbeat, asked_at),
+    match response {
+        Some(heartbeat) => handle_response(membership, &heartbeat, asked_at),
         None => membership.fleet.members.lock().record_failure(&peer.name),
     }
 }
 
-/// Makes the peers of the settings known, for a start without the platform, and hears of
-/// what they know until this daemon has a table, or reads it by itself.
+/// Exchanges heartbeats with the seed peers, so that a daemon can start without the platform, and
+/// repeats this until it has a table or its wait for peers at startup is over.
 pub async fn contact_seed_peers(membership: &Arc<Membership>) {
     let me = membership.fleet.base.cfg.peer_address();
     let seeds: Vec<&String> =
         membership.fleet.base.cfg.seed_peers.iter().filter(|seed| *seed != me).collect();
     loop {
-        futures::future::join_all(seeds.iter().map(|seed| greet(membership, seed))).await;
+        futures::future::join_all(seeds.iter().map(|seed| send_heartbeat_to(membership, seed)))
+            .await;
         if membership.view.revision() > 0 || !membership.fleet.is_in_startup_wait() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(GREET_RETRY) => {}
+            () = tokio::time::sleep(SEED_RETRY_PAUSE) => {}
             () = membership.fleet.base.ended.cancelled() => return,
         }
     }
 }
 
-/// Sends a heartbeat to an address and takes in the answer.
-async fn greet(membership: &Arc<Membership>, address: &str) {
+/// Sends a heartbeat to an address and processes the response.
+async fn send_heartbeat_to(membership: &Arc<Membership>, address: &str) {
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.peer_timeout_ms);
     let mine = membership.heartbeat();
-    let beat = |client: crate::peer::PeerServiceClient, cx| async move {
+    let request = |client: crate::peer::PeerServiceClient, cx| async move {
         client.heartbeat(cx, mine).await
     };
     let asked_at = membership.fleet.base.clock.now();
-    // Peers of the settings may be gone; the list tells of others.
-    if let Some(heartbeat) = membership.fleet.base.peers.call(address, timeout, beat).await {
-        answered(membership, &heartbeat, asked_at);
+    // A missing response is no failure: seed peers may be gone, and the host list names the
+    // current peers.
+    if let Some(heartbeat) = membership.fleet.base.peers.call(address, timeout, request).await {
+        handle_response(membership, &heartbeat, asked_at);
     }
 }
--- a/crates/daemon/src/membership/unread_reports.rs
+++ b/crates/daemon/src/membership/unread_reports.rs
@@ -1,8 +1,9 @@
-//! Tells peers what this daemon has sent to servers that is still to be read there.
+//! Reports to peers the prompt tokens that this daemon has sent to servers and that are not read
+//! there yet.
 //!
-//! A prompt is read in a quarter of a second and heartbeats come twice a second, so
-//! this is told at once. In a large fleet each daemon sends a small part of what
-//! there is, and to tell all of it would cost each host some hundred calls a second.
+//! A prompt is read in a quarter of a second and heartbeats are sent twice a second, so changes
+//! are reported at once. In a large fleet no reports are sent: each daemon sends a small part of
+//! all prompts, and the reports would cost each host some hundred calls a second.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,14 +15,14 @@
 use crate::membership::Membership;
 use crate::peer::PeerServiceClient;
 
-/// Shorter prompts are not told: they are read in some 30 to 60 ms, and by the time
-/// that a peer knows of one it is half read.
+/// Length of the shortest reported prompt, in tokens. Shorter ones are read in some 30 to 60 ms;
+/// by the time that a peer receives the report, half of the prompt is read.
 pub const MIN_REPORTED_TOKENS: Tokens = 2_000;
 
-/// Pause between two rounds of news: what changes meanwhile is told by the next.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Pause between two reports; the next one covers all changes meanwhile.
+const REPORT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Tells peers of each change, until the daemon ends.
+/// Sends a report to all peers after each change, in a small fleet, until the daemon ends.
 pub async fn send_on_change(membership: Arc<Membership>) {
     loop {
         tokio::select! {
@@ -29,28 +30,29 @@
             () = membership.fleet.base.ended.cancelled() => return,
         }
         if membership.fleet.is_small() {
-            tell_all(&membership);
+            send_to_all(&membership);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REPORT_PAUSE).await;
     }
 }
 
-fn tell_all(membership: &Arc<Membership>) {
-    let news = UnreadReport {
+/// Sends a report to all usable peers, without waiting for their responses.
+fn send_to_all(membership: &Arc<Membership>) {
+    let report = UnreadReport {
         from: membership.fleet.base.incarnation,
-        number: membership.news_told.fetch_add(1, Ordering::Relaxed),
+        number: membership.unread_reports_sent.fetch_add(1, Ordering::Relaxed),
         unread: membership.view.router.lock().unread_by_server(),
     };
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.gather_timeout_ms);
     let peers: Vec<String> =
         membership.fleet.members.lock().usable().map(|peer| peer.address.clone()).collect();
     for address in peers {
-        let (membership, news) = (Arc::clone(membership), news.clone());
+        let (membership, report) = (Arc::clone(membership), report.clone());
         tokio::spawn(async move {
-            let told =
-                |client: PeerServiceClient, cx| async move { client.told_unread(cx, news).await };
-            // News that are lost are made good by the next ones.
-            let _lost = membership.fleet.base.peers.call(&address, timeout, told).await;
+            let request =
+                |client: PeerServiceClient, cx| async move { client.told_unread(cx, report).await };
+            // A lost report is replaced by the next one.
+            let _lost = membership.fleet.base.peers.call(&address, timeout, request).await;
         });
     }
 }
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -29,7 +29,7 @@
 
 /// This daemon's view of the table, the servers, the halls and the hosts.
 pub struct View {
-    /// The other daemons.
+    /// This daemon's view of the fleet.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
