--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -1,8 +1,8 @@
-//! Calls between daemons, by tarpc: what they say to each other (`protocol`), and connections to
-//! call them by (`pool`).
+//! Remote procedure calls between daemons, by tarpc: the protocol (`protocol`), the encoding of
+//! tables (`packed_table`) and the client connections (`pool`).
 //!
-//! May call nothing of the daemon but its types; called by all layers. What answers the calls
-//! stands above them, in `peer_server`.
+//! Uses no other module of the daemon; called by all layers. The server side, `peer_server`, is
+//! above them.
 
 pub mod packed_table;
 mod pool;
@@ -19,14 +19,14 @@
     PermitAnswer, Refusal,
 };
 
-/// Largest message; a whole table fits.
+/// Maximum size of one message, in bytes; a whole table fits.
 const MAX_FRAME_BYTES: usize = 32 << 20;
 
-/// Longest fetch of a table or a list from a peer: 400 KB take 0.3 s on the
-/// narrowest link of the users' hosts, 10 Mbit/s, and a peer may serve three.
+/// Timeout for fetching a table or a list from a peer: 400 KB take 0.3 s on the slowest link of
+/// the users' hosts, 10 Mbit/s, and a peer may serve three fetches at once.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The connection as messages.
+/// Wraps a connection in a codec for length-delimited messages.
 pub(crate) fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to peers.
+//! Pool of connections to peers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 
 use crate::peer::{PeerServiceClient, framed};
 
-/// Connections to peers, made when needed.
+/// Connections to peers, one per address, opened on first use.
 #[derive(Debug, Default)]
 pub struct PeerPool {
     clients: Mutex<HashMap<String, PeerServiceClient>>,
 }
 
 impl PeerPool {
-    /// A client of the peer at this address.
+    /// Returns a client for the peer at this address; connects to it if there is none.
     ///
     /// # Errors
-    /// When it can't be connected to within `timeout`.
+    /// Returns an error if no connection is established within `timeout`.
     pub async fn client(
         &self,
         address: &str,
@@ -31,7 +31,7 @@
             return Ok(client.clone());
         }
         let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await??;
-        // A call that follows another one must not wait for its acknowledgement.
+        // Without this a call could wait for the TCP acknowledgement of the previous one.
         stream.set_nodelay(true)?;
         let transport = tarpc::serde_transport::new(framed(stream), Bincode::default());
         let client = PeerServiceClient::new(tarpc::client::Config::default(), transport).spawn();
@@ -39,7 +39,8 @@
         Ok(client)
     }
 
-    /// Calls the peer at this address; none when it does not answer in time.
+    /// Calls the peer at this address and returns its response; none if the connection or the call
+    /// fails or times out.
     pub async fn call<T, F>(
         &self,
         address: &str,
@@ -52,11 +53,11 @@
         let client = self.client(address, timeout).await.ok()?;
         let mut cx = tarpc::context::current();
         cx.deadline = Instant::now() + timeout;
-        let answer = tokio::time::timeout(timeout, call(client, cx)).await;
-        match answer {
-            Ok(Ok(answer)) => Some(answer),
-            // After a cut a connection that was kept waits for its retransmission,
-            // seconds longer than a new one takes.
+        let response = tokio::time::timeout(timeout, call(client, cx)).await;
+        match response {
+            Ok(Ok(response)) => Some(response),
+            // After a network failure a kept connection waits for its TCP retransmission, seconds
+            // longer than opening a new one takes.
             Ok(Err(_)) | Err(_) => {
                 self.clients.lock().remove(address);
                 None
@@ -64,12 +65,12 @@
         }
     }
 
-    /// How many connections are kept.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.clients.lock().len()
     }
 
-    /// Whether no connection is kept.
+    /// Whether there are no open connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -1,4 +1,4 @@
-//! What daemons ask of each other.
+//! The RPC protocol between daemons.
 
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::CrashFacts;
@@ -15,113 +15,117 @@
 
 use crate::peer::packed_table::PackedTable;
 
-/// An owner's answer, with the tokens that it sent along.
+/// Response of a shard's owner to a [`Request`], with the tokens sent along.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerAnswer {
-    /// The answer.
+    /// The reply of the owner.
     pub reply: Reply,
-    /// The owner and its cumulative sum sent to the asker, when it sent any.
+    /// The owner's incarnation and the cumulative tokens that it has sent to the requester, if it
+    /// sent any.
     pub sent: Option<(Incarnation, Tokens)>,
 }
 
-/// Answer to a request for unspent tokens.
+/// Response to a request for unspent tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GiveAnswer {
     /// Tokens were sent.
     Sent {
-        /// Cumulative sum sent to the asker.
+        /// Cumulative tokens sent to the requester.
         cumulative: Tokens,
-        /// Tokens still set aside for running attempts.
+        /// Tokens still reserved for running attempts.
         reserved: Tokens,
     },
-    /// The asked incarnation does not run here any more.
+    /// The requested incarnation is not running here any more.
     OtherIncarnation,
 }
 
-/// An answer to a daemon that asks for permits.
+/// Response to a [`PermitRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// The permits.
+    /// The permits issued.
     pub issued: Issued,
-    /// Whether the server names no limit any more, as far as the issuer knows.
+    /// Whether the server has no limit any more, as far as the issuer knows.
     pub is_free: bool,
-    /// What the issuer knows of the limit, when that is something else.
+    /// The issuer's record of the limit, if it differs from the requester's.
     pub newer: Option<LimitFact>,
 }
 
-/// Why tokens were refused.
+/// Reason why tokens were refused, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// When it is worth asking again.
+    /// Delay before the next attempt, in milliseconds.
     pub retry_after_ms: Millis,
-    /// Whether the store was away, so that more may be there.
+    /// Whether the store was unavailable, so that the budget may have more tokens there.
     pub store_away: bool,
-    /// What the request may take at most of the rest of the budget, when that is why.
+    /// Maximum number of tokens that the request may take of the rest of the budget, if it was
+    /// refused for requiring more.
     pub ration: Option<Tokens>,
 }
 
 impl Refusal {
-    /// Too little is left of the budget.
+    /// Creates a refusal for a budget with too few tokens left.
     pub(crate) fn short(retry_after_ms: Millis) -> Self {
         Refusal { retry_after_ms, store_away: false, ration: None }
     }
 
-    /// More may be left, but out of reach.
+    /// Creates a refusal for a budget that may have more tokens in the unavailable store.
     pub(crate) fn out_of_reach(retry_after_ms: Millis) -> Self {
         Refusal { retry_after_ms, store_away: true, ration: None }
     }
 
-    /// Too little is left for a request of this size.
+    /// Creates a refusal for a request that requires more than its `ration` of a nearly spent
+    /// budget.
     pub(crate) fn rationed(ration: Tokens) -> Self {
         Refusal { retry_after_ms: RETRY_LATER_MS, store_away: false, ration: Some(ration) }
     }
 }
 
-/// An owner's answer to a daemon that asks for tokens.
+/// Response of a shard's owner to a [`TokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AllotAnswer {
-    /// Tokens were handed on.
+    /// Tokens were allotted.
     Allotted(Allotted),
-    /// None were.
+    /// No tokens were allotted.
     Refused(Refusal),
 }
 
-/// The platform's host list, as a peer tells it.
+/// The platform's host list, as sent by a peer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostListReply {
-    /// The lines.
+    /// The rows.
     pub hosts: Vec<Host>,
-    /// How long ago the store was asked for it, in milliseconds.
+    /// Time since the store was asked for it, in milliseconds.
     pub age_ms: i64,
 }
 
-/// What daemons ask of each other.
+/// The calls that each daemon answers.
 #[tarpc::service]
 pub trait PeerService {
-    /// Tells of the sender and asks the same of the receiver.
+    /// Announces the sender's state and returns the receiver's.
     async fn heartbeat(from: Heartbeat) -> Heartbeat;
-    /// Tells what the sender has sent to servers that is still to be read there.
-    async fn told_unread(news: UnreadReport);
-    /// The table in force, when its revision is above this one.
+    /// Reports the prompt tokens that the sender has sent to servers and that are not read there
+    /// yet.
+    async fn told_unread(report: UnreadReport);
+    /// Returns the table in force if its revision is above `revision`.
     async fn table_above(revision: u64) -> Option<PackedTable>;
-    /// What the receiver knows of the list of backend servers beyond this
-    /// version, and its own version, when that is above this one.
+    /// Returns the changes of the receiver's server list since `version`, with the version of that
+    /// list; none if it is not above `version`.
     async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
-    /// The platform's host list as the receiver knows it, unless its hash is
-    /// this one.
+    /// Returns the receiver's copy of the platform's host list, unless its hash is `hash`.
     async fn hosts_unless(hash: u64) -> Option<HostListReply>;
-    /// Asks the receiver as the owner of a budget shard.
+    /// Sends a request to the receiver as the owner of a budget shard.
     async fn ask_owner(request: Request) -> OwnerAnswer;
-    /// Asks the receiver, as the owner of a budget's shard, for tokens that it
-    /// holds itself or draws.
-    async fn allot(ask: TokenRequest) -> AllotAnswer;
-    /// Asks the receiver for a part of what it has free, while no more can be
-    /// drawn from the store.
-    async fn lend(ask: TokenRequest) -> Allotted;
-    /// Hands the receiver what `from`, which stops while the store is away, had free:
-    /// a cumulative sum. Whether the receiver is still this start of it.
+    /// Requests tokens from the receiver as the owner of a budget's shard, which holds them or
+    /// draws them from the store.
+    async fn allot(request: TokenRequest) -> AllotAnswer;
+    /// Requests a part of the receiver's free tokens while none can be drawn from the store.
+    async fn lend(request: TokenRequest) -> Allotted;
+    /// Transfers the free tokens of `from`, which stops while the store is unavailable, to the
+    /// receiver. `sum` is cumulative. Returns whether the receiver still is the incarnation
+    /// `receiver`.
     async fn take(budget: Name, receiver: Incarnation, from: Incarnation, sum: Tokens) -> bool;
-    /// Asks `holder` for up to `most` of what it has free of a budget.
+    /// Requests up to `most` of the free tokens that `holder` has of a budget, on behalf of
+    /// `receiver`, which has `received` this cumulative sum from it so far.
     async fn give(
         budget: Name,
         holder: Incarnation,
@@ -129,26 +133,27 @@
         received: Tokens,
         most: Tokens,
     ) -> GiveAnswer;
-    /// What the receiver holds and has spent of a budget.
+    /// Returns how much of a budget the receiver holds and has spent.
     async fn holding(budget: Name) -> DaemonHolding;
-    /// Asks the receiver as a witness to agree that `holder` opens its grant up
-    /// to this cumulative sum.
+    /// Asks the receiver as a witness to let `holder` open its grant up to the cumulative sum
+    /// `opened`. Returns whether it agrees.
     async fn open(holder: Incarnation, witness: Incarnation, budget: Name, opened: Tokens) -> bool;
-    /// Asks the receiver as a witness to agree to nothing further of `holder`;
-    /// answers what it had opened, or none when that witness is no more.
+    /// Asks the receiver as a witness to let `holder` open nothing further. Returns the cumulative
+    /// sum opened before; none if the incarnation `witness` is not running any more.
     async fn close(holder: Incarnation, witness: Incarnation, budget: Name) -> Option<Tokens>;
-    /// Appends to the request log by way of the receiver.
+    /// Appends an entry to the request log through the receiver.
     async fn submit(entry: Entry) -> Outcome;
-    /// Tells of crashes that are new to the sender.
+    /// Sends crash records that are new to the sender.
     async fn told_crashes(facts: CrashFacts);
-    /// All that the receiver knows of crashes.
+    /// Returns all of the receiver's crash records.
     async fn crash_facts() -> CrashFacts;
-    /// Tells what servers have said that is new to the sender.
+    /// Sends server signals, such as limits, that are new to the sender.
     async fn told_hints(facts: Vec<HintFact>);
-    /// What the receiver knows of what servers have said; some of it, when it is much.
+    /// Returns the server signals known to the receiver; a part of them if there are many.
     async fn hint_facts() -> Vec<HintFact>;
-    /// Asks the receiver for permits for the server that the sender knows this of.
-    async fn permits(fact: LimitFact, wish: PermitRequest) -> PermitAnswer;
-    /// Keeps a bill until the store takes it.
+    /// Requests permits for a server from the receiver. `fact` is the sender's record of the
+    /// server's limit.
+    async fn permits(fact: LimitFact, request: PermitRequest) -> PermitAnswer;
+    /// Hands the receiver a bill, which it keeps until the store accepts it.
     async fn keep_bill(bill: Bill);
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers, each by the layer that it concerns.
+//! Server side of the RPC protocol: passes each call of a peer to the layer that handles it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,23 +32,24 @@
     AllotAnswer, GiveAnswer, HostListReply, OwnerAnswer, PeerService, PermitAnswer, framed,
 };
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
+/// Handler of the calls of one peer.
 #[derive(Clone)]
-struct Server {
+struct PeerHandler {
     daemon: Arc<Daemon>,
 }
 
-impl PeerService for Server {
+impl PeerService for PeerHandler {
     async fn heartbeat(self, _: Context, from: Heartbeat) -> Heartbeat {
         membership::handle_heartbeat(&self.daemon.membership, &from);
         self.daemon.membership.heartbeat()
     }
 
-    async fn told_unread(self, _: Context, news: UnreadReport) {
+    async fn told_unread(self, _: Context, report: UnreadReport) {
         let now = self.daemon.clock.now();
-        self.daemon.router.lock().merge_unread_report(now, &news);
+        self.daemon.router.lock().merge_unread_report(now, &report);
     }
 
     async fn table_above(self, _: Context, revision: u64) -> Option<PackedTable> {
@@ -59,7 +60,7 @@
         match PackedTable::pack(&table) {
             Ok(packed) => Some(packed),
             Err(e) => {
-                slog::error!(self.daemon.log, "the table can't be packed"; "error" => %e);
+                slog::error!(self.daemon.log, "failed to pack table"; "error" => %e);
                 None
             }
         }
@@ -82,12 +83,12 @@
         owner::ask_local_owner(&self.daemon.budgets, request).await
     }
 
-    async fn allot(self, _: Context, ask: TokenRequest) -> AllotAnswer {
-        allotment::allot(&self.daemon.budgets, ask).await
+    async fn allot(self, _: Context, request: TokenRequest) -> AllotAnswer {
+        allotment::allot(&self.daemon.budgets, request).await
     }
 
-    async fn lend(self, _: Context, ask: TokenRequest) -> Allotted {
-        self.daemon.budgets.holder().lend(&ask)
+    async fn lend(self, _: Context, request: TokenRequest) -> Allotted {
+        self.daemon.budgets.holder().lend(&request)
     }
 
     async fn take(
@@ -98,11 +99,11 @@
         from: Incarnation,
         sum: Tokens,
     ) -> bool {
-        let is_me = receiver == self.daemon.incarnation;
-        if is_me {
+        let is_current = receiver == self.daemon.incarnation;
+        if is_current {
             self.daemon.budgets.holder().record_received(&budget, from, sum);
         }
-        is_me
+        is_current
     }
 
     async fn give(
@@ -132,8 +133,8 @@
         budget: Name,
         opened: Tokens,
     ) -> bool {
-        let is_me = witness == self.daemon.incarnation;
-        is_me && self.daemon.budgets.marks().open(holder, &budget, opened)
+        let is_current = witness == self.daemon.incarnation;
+        is_current && self.daemon.budgets.marks().open(holder, &budget, opened)
     }
 
     async fn close(
@@ -143,8 +144,8 @@
         witness: Incarnation,
         budget: Name,
     ) -> Option<Tokens> {
-        let is_me = witness == self.daemon.incarnation;
-        is_me.then(|| self.daemon.budgets.marks().close(holder, &budget))
+        let is_current = witness == self.daemon.incarnation;
+        is_current.then(|| self.daemon.budgets.marks().close(holder, &budget))
     }
 
     async fn submit(self, _: Context, entry: Entry) -> Outcome {
@@ -167,8 +168,8 @@
         self.daemon.hints.facts()
     }
 
-    async fn permits(self, _: Context, fact: LimitFact, wish: PermitRequest) -> PermitAnswer {
-        self.daemon.hints.issue(&fact, wish)
+    async fn permits(self, _: Context, fact: LimitFact, request: PermitRequest) -> PermitAnswer {
+        self.daemon.hints.issue(&fact, request)
     }
 
     async fn keep_bill(self, _: Context, bill: Bill) {
@@ -176,40 +177,41 @@
     }
 }
 
-/// Serves peers until the daemon ends.
+/// Starts to serve peers, in the background, until the daemon ends.
 ///
 /// # Errors
-/// [`crate::Error::Listen`] when the port can't be listened on.
+/// Returns [`crate::Error::Listen`] if listening on the peer port fails.
 pub async fn serve(daemon: Arc<Daemon>) -> Result<()> {
     let listener = tcp::listen(&daemon.cfg.peer_listen)?;
     tokio::spawn(async move {
         let ended = daemon.ended.clone();
         tokio::select! {
-            () = accept(&daemon, listener) => {}
+            () = accept_connections(&daemon, listener) => {}
             () = ended.cancelled() => {}
         }
     });
     Ok(())
 }
 
-async fn accept(daemon: &Arc<Daemon>, listener: TcpListener) {
+/// Accepts connections of peers and serves each in a task of its own.
+async fn accept_connections(daemon: &Arc<Daemon>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(answer(Arc::clone(daemon), stream))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(Arc::clone(daemon), stream))),
             Err(e) => {
-                slog::warn!(daemon.log, "a peer was not accepted"; "error" => %e);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                slog::warn!(daemon.log, "failed to accept a peer connection"; "error" => %e);
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Answers one peer until it leaves or the daemon ends.
-async fn answer(daemon: Arc<Daemon>, stream: TcpStream) {
+/// Serves one peer until it closes the connection or the daemon ends.
+async fn serve_connection(daemon: Arc<Daemon>, stream: TcpStream) {
     let ended = daemon.ended.clone();
     let transport = tarpc::serde_transport::new(framed(stream), Bincode::default());
     let channel = BaseChannel::with_defaults(transport);
-    let requests = channel.execute(Server { daemon }.serve()).for_each(|response| async {
+    let requests = channel.execute(PeerHandler { daemon }.serve()).for_each(|response| async {
         tokio::spawn(response);
     });
     tokio::select! {
