--- a/crates/daemon/tests/fleet_size.rs
+++ b/crates/daemon/tests/fleet_size.rs
@@ -1,11 +1,10 @@
-//! What a daemon takes its fleet for right after a start.
+//! Size of the fleet as known to a daemon right after its start.
 //!
-//! Symptom: after the return of 295 daemons, while the store was away, 25,500 draws in
-//! place of 7,000 and 32,655 calls of the store in 48 s; 5,000 of its requests in 4 s were
-//! refused (`budget_out_of_reach`). Sequence: no daemon could read the host list; each
-//! heard two or three peers by heartbeats. Cause: whether a fleet is small was counted
-//! from the peers known at the moment, so each daemon drew by itself and all of them wrote
-//! the same four ledgers.
+//! Guards against a daemon that counts the peers known at the moment and so takes a large fleet
+//! for a small one. After 295 daemons restarted while the store was unavailable, none could read
+//! the host list and each received heartbeats from two or three peers. Each then drew by itself,
+//! so that all of them wrote the same four ledgers: 25,500 draws instead of 7,000, 32,655 calls of
+//! the store in 48 s, and 5,000 requests refused in 4 s (`budget_out_of_reach`).
 
 use std::sync::Arc;
 
@@ -17,18 +16,19 @@
 use bankcoved::budget::ownership::owners_to_ask;
 use bankcoved::daemon::Daemon;
 
-/// Fleets up to this size draw each by itself.
-const DIRECT: usize = 12;
+/// Size of the largest fleet in which each daemon draws by itself.
+const DIRECT_DAEMONS: usize = 12;
 
 fn daemon() -> Arc<Daemon> {
     let mut cfg = Config::example();
     cfg.name = Name::from("entry-0");
     cfg.limits.witnesses = 0;
-    cfg.limits.direct_daemons = DIRECT;
-    Daemon::new(cfg, logging::silent()).expect("it can be set up")
+    cfg.limits.direct_daemons = DIRECT_DAEMONS;
+    Daemon::new(cfg, logging::silent()).expect("the daemon can be set up")
 }
 
-fn speaks(daemon: &Daemon, n: u64) {
+/// Delivers a heartbeat of peer `n`.
+fn receive_heartbeat(daemon: &Daemon, n: u64) {
     let heartbeat = Heartbeat {
         name: Name::from(format!("entry-{n}").as_str()),
         hall: Name::from("hall-1"),
@@ -48,16 +48,16 @@
 }
 
 #[test]
-fn who_has_not_seen_the_list_draws_for_nobody_but_asks_the_peers_it_hears() {
+fn without_the_host_list_a_daemon_asks_the_peers_known_by_heartbeats() {
     let daemon = daemon();
     for n in 1..=3 {
-        speaks(&daemon, n);
+        receive_heartbeat(&daemon, n);
     }
     for n in 0..40 {
         let budget = Budget::for_workspace(Name::from(format!("budget-{n}").as_str()), 1_000, 1);
         assert!(
             !owners_to_ask(&daemon.budgets, &budget).is_empty(),
-            "it would draw {}",
+            "the daemon would draw {} by itself",
             budget.name
         );
     }
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When a daemon believes that what it knows is current: see freshness_by_gossip.rs of core.
+//! Age of a daemon's view after heartbeats; see `freshness_by_gossip.rs` in core.
 
 use std::sync::Arc;
 
@@ -9,15 +9,15 @@
 use bankcoved::daemon::Daemon;
 use bankcoved::membership;
 
-/// An address at which nobody answers.
-const NOBODY: &str = "127.0.0.1:9";
+/// An address at which no peer listens.
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:9";
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         name: Name::from("entry-1"),
         hall: Name::from("hall-1"),
         incarnation: Incarnation(1),
-        address: NOBODY.to_owned(),
+        address: UNREACHABLE_ADDRESS.to_owned(),
         revision: 0,
         servers_version: Default::default(),
         evacuated: Default::default(),
@@ -31,10 +31,10 @@
 }
 
 #[tokio::test]
-async fn a_heartbeat_that_was_not_asked_for_makes_nobody_current() {
+async fn an_unsolicited_heartbeat_does_not_make_the_view_current() {
     let daemon: Arc<Daemon> =
-        Daemon::new(Config::example(), logging::silent()).expect("it can be set up");
-    // How long it was under way nobody knows.
+        Daemon::new(Config::example(), logging::silent()).expect("the daemon can be set up");
+    // The transmission time of an unsolicited heartbeat is unknown, so its ages are not used.
     membership::handle_heartbeat(&daemon.membership, &heartbeat());
     let now = daemon.clock.now();
     assert_eq!(daemon.fleet.connectivity.view_age(now), None);
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -1,5 +1,5 @@
-//! The layers of the daemon: each uses those below it alone, and none but the uppermost is handed
-//! the whole daemon.
+//! Checks the layering of the daemon: each layer uses only those below it, and only the top layer
+//! has access to the whole daemon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -7,7 +7,7 @@
 
 use yare::parameterized;
 
-/// The layers, the lowest first; those of one line don't use each other.
+/// The layers, from the lowest up; layers on one line don't use each other.
 const LAYERS: [&[&str]; 9] = [
     &["peer"],
     &["base"],
@@ -20,11 +20,12 @@
     &["operator", "peer_server", "controller"],
 ];
 
+/// Returns the source files of a layer.
 fn files_of(src: &Path, layer: &str) -> Vec<PathBuf> {
     let mut files = vec![src.join(layer).with_extension("rs")];
     let mut folders = vec![src.join(layer)];
     while let Some(folder) = folders.pop() {
-        // A layer of one file has no folder.
+        // A layer that is a single file has no folder.
         for entry in fs::read_dir(folder).into_iter().flatten() {
             let path = entry.expect("an entry can be read").path();
             if path.is_dir() { folders.push(path) } else { files.push(path) }
@@ -33,18 +34,19 @@
     files
 }
 
+/// Whether a source text uses the module of this path below the crate.
 fn uses(text: &str, layer: &str) -> bool {
-    // Imports of several at once would not be seen.
-    assert!(!text.contains("use crate::{"), "a line for each module");
+    // Grouped imports would not be detected.
+    assert!(!text.contains("use crate::{"), "each module needs an import line of its own");
     let path = format!("crate::{layer}");
-    let ends = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric() || c == '_');
-    text.match_indices(&path).any(|(at, _)| ends(&text[at + path.len()..]))
+    let is_whole_name = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric() || c == '_');
+    text.match_indices(&path).any(|(at, _)| is_whole_name(&text[at + path.len()..]))
 }
 
 #[test]
 fn no_layer_uses_one_above_it_or_beside_it() {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for (level, layers) in LAYERS.iter().enumerate().take(LAYERS.len() - 1) {
         for layer in *layers {
             let above = LAYERS[level..].iter().copied().flatten();
@@ -52,16 +54,16 @@
             for file in files_of(&src, layer) {
                 let text = fs::read_to_string(&file).expect("a source file can be read");
                 let used = forbidden.iter().filter(|other| uses(&text, other));
-                wrong.extend(used.map(|other| format!("{} uses {other}", file.display())));
+                violations.extend(used.map(|other| format!("{} uses {other}", file.display())));
             }
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// The files of a folder that each uses, by the names of their modules.
+/// Returns the module of each file in a folder, with the modules of the same folder that it uses.
 fn uses_within(src: &Path, folder: &str) -> BTreeMap<String, BTreeSet<String>> {
-    let entries = fs::read_dir(src.join(folder)).expect("the folder is there");
+    let entries = fs::read_dir(src.join(folder)).expect("the folder can be read");
     let paths = entries.map(|entry| entry.expect("an entry can be read").path());
     let stem = |path: &Path| path.file_stem().map(|name| name.to_string_lossy().into_owned());
     let files: BTreeMap<String, PathBuf> =
@@ -77,18 +79,20 @@
     files.iter().map(|(name, path)| (name.clone(), uses_of(path))).collect()
 }
 
-/// Takes away, again and again, the files that use none of those that are left.
-fn ring(mut uses: BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+/// Repeatedly removes the modules that use none of the remaining ones; returns the modules that are
+/// left, which depend on a cycle.
+fn cyclic_modules(mut uses: BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
     loop {
-        let free: Vec<String> =
+        let independent: Vec<String> =
             uses.iter().filter(|(_, used)| used.is_empty()).map(|(name, _)| name.clone()).collect();
-        if free.is_empty() {
+        if independent.is_empty() {
             return uses.into_keys().collect();
         }
-        for name in &free {
+        for name in &independent {
             uses.remove(name);
         }
-        uses.values_mut().for_each(|used| free.iter().for_each(|name| _ = used.remove(name)));
+        uses.values_mut()
+            .for_each(|used| independent.iter().for_each(|name| _ = used.remove(name)));
     }
 }
 
@@ -104,8 +108,8 @@
     peer = { "peer" },
     view = { "view" },
 )]
-fn the_files_of_a_layer_use_each_other_in_one_direction(layer: &str) {
+fn the_modules_of_a_layer_have_no_cyclic_dependencies(layer: &str) {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let ring = ring(uses_within(&src, layer));
-    assert!(ring.is_empty(), "{ring:?} use each other in a ring");
+    let cyclic = cyclic_modules(uses_within(&src, layer));
+    assert!(cyclic.is_empty(), "{cyclic:?} form or depend on a cycle");
 }
--- a/crates/daemon/tests/packed_table.rs
+++ b/crates/daemon/tests/packed_table.rs
@@ -1,4 +1,4 @@
-//! Tables on their way between daemons.
+//! Encoding of tables for transfer between daemons.
 
 use bankcove_core::Name;
 use bankcove_core::table::{Budget, Table};
@@ -10,21 +10,22 @@
 }
 
 #[test]
-fn a_table_arrives_as_it_was_sent() {
-    let packed = PackedTable::pack(&table()).expect("a table can be written");
-    assert_eq!(packed.unpack().expect("it can be read"), table());
+fn unpacking_restores_the_packed_table() {
+    let packed = PackedTable::pack(&table()).expect("the table can be packed");
+    assert_eq!(packed.unpack().expect("the table can be unpacked"), table());
 }
 
 #[test]
-fn a_packed_table_is_much_smaller_than_its_json() {
-    let json = serde_json::to_vec(&table()).expect("a table can be written");
-    let packed = PackedTable::pack(&table()).expect("a table can be written");
-    let sent = serde_json::to_vec(&packed).expect("bytes can be written");
-    assert!(sent.len() < json.len(), "{} of {}", sent.len(), json.len());
+fn a_packed_table_is_smaller_than_its_json() {
+    let json = serde_json::to_vec(&table()).expect("the table can be serialized");
+    let packed = PackedTable::pack(&table()).expect("the table can be packed");
+    let sent = serde_json::to_vec(&packed).expect("the packed table can be serialized");
+    assert!(sent.len() < json.len(), "{} of {} bytes", sent.len(), json.len());
 }
 
 #[test]
-fn bytes_that_are_no_table_are_told_as_such() {
-    let broken: PackedTable = serde_json::from_str(r#"{"bytes":[9,0,0,0,1,2]}"#).expect("bytes");
+fn unpacking_invalid_bytes_fails() {
+    let broken: PackedTable =
+        serde_json::from_str(r#"{"bytes":[9,0,0,0,1,2]}"#).expect("the JSON is valid");
     assert!(broken.unpack().is_err());
 }
