--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -151,7 +151,8 @@
     }
 
     /// Whether this daemon may be cut off from where drains are accepted: the store has not answered
-    /// for more than `limit` milliseconds, and most of the last heartbeats were not answered.
+    /// for more than `limit` milliseconds, and at least half of the last heartbeats were not
+    /// answered, or too few were sent.
     pub fn is_isolated(&self, now: Millis, limit: Millis) -> bool {
         let state = self.state.lock();
         let is_store_recent =
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -230,9 +230,9 @@
 /// Sends a heartbeat to a peer, processes the response and records whether there was one.
 async fn send_heartbeat(membership: &Arc<Membership>, peer: &Peer) {
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.peer_timeout_ms);
-    let mine = membership.heartbeat();
+    let own_heartbeat = membership.heartbeat();
     let request = |client: crate::peer::PeerServiceClient, cx| async move {
-        client.heartbeat(cx, mine).await
+        client.heartbeat(cx, own_heartbeat).await
     };
     let asked_at = membership.fleet.base.clock.now();
     let response = membership.fleet.base.peers.call(&peer.address, timeout, request).await;
@@ -268,9 +268,9 @@
 /// Sends a heartbeat to an address and processes the response.
 async fn send_heartbeat_to(membership: &Arc<Membership>, address: &str) {
     let timeout = Duration::from_millis(membership.fleet.base.cfg.limits.peer_timeout_ms);
-    let mine = membership.heartbeat();
+    let own_heartbeat = membership.heartbeat();
     let request = |client: crate::peer::PeerServiceClient, cx| async move {
-        client.heartbeat(cx, mine).await
+        client.heartbeat(cx, own_heartbeat).await
     };
     let asked_at = membership.fleet.base.clock.now();
     // A missing response is no failure: seed peers may be gone, and the host list names the
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -70,9 +70,9 @@
     }
 }
 
-/// Reads the host list from the store. While the store is unavailable, and when the list is
-/// read again during a start of the whole fleet, in which each daemon ranks itself first as a
-/// reader, fetches it from a seed peer instead.
+/// Reads the host list from the store. If a list is known already during a start of the whole
+/// fleet, in which each daemon ranks itself first as a reader, tries the seed peers first. While
+/// the store is unavailable, asks the seed peers alone.
 async fn read_from_store_or_seeds(view: &Arc<View>) -> Option<HostList> {
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
