--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -173,7 +173,7 @@
 fn claim_unsettled(api: &Api, caller: &Caller, attempt: Attempt<Admitted>) -> Problem {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
-    api.billing.keep(Entry::Release { request: caller.request, attempt: id });
+    api.billing.enqueue(Entry::Release { request: caller.request, attempt: id });
     let message = "the store does not answer, so a request that must not repeat can't be claimed";
     let status = StatusCode::SERVICE_UNAVAILABLE;
     Problem::not_run(&not_run, status, "claim_out_of_reach", message).retry_after(RETRY_CLAIMED_MS)
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -15,7 +15,7 @@
 use crate::api::Api;
 use crate::api::answer::Problem;
 use crate::api::backend::{self, DispatchError, Outgoing};
-use crate::crashes::gate::RunApart;
+use crate::crashes::isolation::IsolatedRun;
 use crate::hints::permit::Permit;
 use crate::requests::open_request::OpenRequest;
 
@@ -130,7 +130,7 @@
     let fingerprint = outgoing.fingerprint(need.workspace);
     let passed = pass_crashes(api, attempt, need, fingerprint).await;
     let (mut attempt, mut apart) = passed.map_err(NotPlaced::Refused)?;
-    let place = api.requests.crashes.place(|| fingerprint);
+    let place = api.requests.crashes.placement(|| fingerprint);
     let mut tried = Vec::new();
     let mut none = NoServer::NoneUsable;
     while tried.len() < api.requests.base.cfg.limits.max_tries {
@@ -180,7 +180,7 @@
             }
             Err(DispatchError::Unknown) => {
                 open.failed();
-                api.requests.crashes.broke_off(&choice, fingerprint);
+                api.requests.crashes.record_disconnect(&choice, fingerprint);
                 return Err(NotPlaced::Refused(lost(api, dispatched, &choice)));
             }
         }
@@ -241,7 +241,7 @@
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     if need.claimed {
-        api.billing.keep(Entry::Release { request: need.request, attempt: id });
+        api.billing.enqueue(Entry::Release { request: need.request, attempt: id });
     }
     not_run
 }
@@ -252,10 +252,10 @@
     attempt: Attempt<Admitted>,
     need: &Need<'_>,
     fingerprint: Fingerprint,
-) -> Result<(Attempt<Admitted>, Option<RunApart>), Problem> {
-    let verdict = api.requests.crashes.settled(Millis::MAX, || fingerprint).await;
+) -> Result<(Attempt<Admitted>, Option<IsolatedRun>), Problem> {
+    let verdict = api.requests.crashes.await_verdict(Millis::MAX, || fingerprint).await;
     let apart = (verdict == Verdict::Isolated)
-        .then(|| api.requests.crashes.run_apart(fingerprint))
+        .then(|| api.requests.crashes.begin_isolated_run(fingerprint))
         .flatten();
     if matches!(verdict, Verdict::Allowed | Verdict::Suspect) || apart.is_some() {
         return Ok((attempt, apart));
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -174,11 +174,11 @@
     let headers = placed.res.headers().clone();
     let body = api.requests.base.clock.before(until, read_answer(placed.res)).await;
     let Some(Some(body)) = body else {
-        api.requests.crashes.broke_off(&placed.choice, placed.fingerprint);
+        api.requests.crashes.record_disconnect(&placed.choice, placed.fingerprint);
         return Err(lost(api, placed.attempt, open, &placed.choice.server));
     };
     let is_framed = crashes::is_framed(&headers);
-    api.requests.crashes.ended(&placed.choice, is_framed, || placed.fingerprint);
+    api.requests.crashes.record_response_end(&placed.choice, is_framed, || placed.fingerprint);
     settle_and_bill(api, placed.attempt, &caller, price).await;
     Ok(Answer { status, headers, body })
 }
--- a/crates/daemon/src/api/pump.rs
+++ b/crates/daemon/src/api/pump.rs
@@ -119,7 +119,7 @@
     };
     match ending {
         Ending::Last(usage, last) => {
-            api.requests.crashes.succeeded(|| fingerprint);
+            api.requests.crashes.record_success(|| fingerprint);
             settle_and_bill(api, account, usage).await;
             send_end(&pieces, last).await;
         }
@@ -131,7 +131,7 @@
         Ending::Cancelled | Ending::ServerLost => {
             open.failed();
             // A server that did not keep to its protocol is there, which is found out.
-            api.requests.crashes.broke_off(&choice, fingerprint);
+            api.requests.crashes.record_disconnect(&choice, fingerprint);
             give_up(api, account);
             send_problem(&pieces, &server_lost()).await;
         }
@@ -206,14 +206,14 @@
     };
     match (answer, body) {
         (Some(answer), Some(body)) if answer.id == run_id && !cancelled(&answer) => {
-            api.requests.crashes.succeeded(|| fingerprint);
+            api.requests.crashes.record_success(|| fingerprint);
             settle_and_bill(api, account, answer.usage).await;
             // A caller that went away only now has been billed for a whole run.
             let _gone = tx.send(Ok(Answer::Whole(body)));
         }
         _ => {
             open.failed();
-            api.requests.crashes.broke_off(&choice, fingerprint);
+            api.requests.crashes.record_disconnect(&choice, fingerprint);
             give_up(api, account);
             // A caller that went away needs no answer.
             let _gone = tx.send(Err(server_lost()));
--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -17,8 +17,8 @@
     pub store: Store,
     /// Shards of the request log.
     pub logs: LogTasks,
-    pub(super) waiting: Mutex<VecDeque<Entry>>,
-    pub(super) handing_over: tokio::sync::Mutex<()>,
+    pub(super) pending: Mutex<VecDeque<Entry>>,
+    pub(super) batch_lock: tokio::sync::Mutex<()>,
 }
 
 impl Billing {
@@ -28,18 +28,18 @@
             fleet,
             store,
             logs: LogTasks::default(),
-            waiting: Mutex::default(),
-            handing_over: tokio::sync::Mutex::default(),
+            pending: Mutex::default(),
+            batch_lock: tokio::sync::Mutex::default(),
         }
     }
 
     /// Keeps an entry until the store takes it.
-    pub fn keep(&self, entry: Entry) {
-        self.waiting.lock().push_back(entry);
+    pub fn enqueue(&self, entry: Entry) {
+        self.pending.lock().push_back(entry);
     }
 
     /// How many entries wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.lock().len()
+    pub fn pending_entries(&self) -> usize {
+        self.pending.lock().len()
     }
 }
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -43,7 +43,7 @@
         Ok(Outcome::Billed { first: false }) => return Billed::Repeat,
         Ok(_) | Err(_) => {}
     }
-    billing.keep(entry);
+    billing.enqueue(entry);
     billing.fleet.base.metrics.count("bill.kept");
     let copies = copy_to_peers(billing, &bill).await;
     slog::warn!(billing.fleet.base.log, "bill waits for the store"; "request" => %bill.request, "copies" => copies);
@@ -67,26 +67,26 @@
 }
 
 /// Hands over what waits, until the daemon ends.
-pub async fn hand_over(billing: Arc<Billing>) {
+pub async fn retry_pending(billing: Arc<Billing>) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(RETRY) => {}
             () = billing.fleet.base.ended.cancelled() => return,
         }
-        hand_over_once(&billing).await;
+        submit_pending_batch(&billing).await;
     }
 }
 
 /// Hands over one batch of what waits.
-pub async fn hand_over_once(billing: &Arc<Billing>) {
-    let _one_at_a_time = billing.handing_over.lock().await;
+pub async fn submit_pending_batch(billing: &Arc<Billing>) {
+    let _one_at_a_time = billing.batch_lock.lock().await;
     let batch: Vec<Entry> = {
-        let waiting = billing.waiting.lock();
+        let waiting = billing.pending.lock();
         waiting.iter().take(BATCH).cloned().collect()
     };
     let submit = batch.iter().map(|entry| request_log::submit(billing, entry.clone()));
     let outcomes = futures::future::join_all(submit).await;
-    let mut waiting = billing.waiting.lock();
+    let mut waiting = billing.pending.lock();
     // Entries join only at the back, so the batch is still at the front.
     for (entry, outcome) in batch.into_iter().zip(outcomes) {
         waiting.pop_front();
--- a/crates/daemon/src/bill/log_tasks.rs
+++ b/crates/daemon/src/bill/log_tasks.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// What a task is told.
-pub(super) enum Mail {
+pub(super) enum Message {
     /// An entry is to be appended.
     Submitted(Entry, oneshot::Sender<Outcome>),
     /// Something has happened.
@@ -33,7 +33,7 @@
 /// The log shards that this daemon has appended to.
 #[derive(Debug, Default)]
 pub struct LogTasks {
-    pub(super) shards: Mutex<HashMap<u32, mpsc::UnboundedSender<Mail>>>,
+    pub(super) shards: Mutex<HashMap<u32, mpsc::UnboundedSender<Message>>>,
 }
 
 impl LogTasks {
@@ -43,7 +43,7 @@
         let mut dumps = HashMap::new();
         for (shard, log) in shards {
             let (tx, rx) = oneshot::channel();
-            if log.send(Mail::Dump(tx)).is_ok()
+            if log.send(Message::Dump(tx)).is_ok()
                 && let Ok(dump) = rx.await
             {
                 dumps.insert(shard, dump);
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -10,7 +10,7 @@
 
 use crate::base::mailbox::{Tickets, after, later};
 use crate::bill::billing::Billing;
-use crate::bill::log_tasks::{LogDump, Mail};
+use crate::bill::log_tasks::{LogDump, Message};
 
 /// Owners that are tried before this daemon appends itself.
 const OWNERS_TRIED: usize = 1;
@@ -38,20 +38,20 @@
             None => billing.fleet.members.lock().record_failure(&owner.name),
         }
     }
-    submit_here(billing, entry).await
+    submit_locally(billing, entry).await
 }
 
 /// Appends an entry by this daemon itself.
-pub async fn submit_here(billing: &Arc<Billing>, entry: Entry) -> Outcome {
+pub async fn submit_locally(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let (tx, rx) = oneshot::channel();
-    let log = local_log(billing, entry.shard());
-    if log.send(Mail::Submitted(entry, tx)).is_err() {
+    let log = log_task(billing, entry.shard());
+    if log.send(Message::Submitted(entry, tx)).is_err() {
         return Outcome::StoreAway;
     }
     rx.await.unwrap_or(Outcome::StoreAway)
 }
 
-fn local_log(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Mail> {
+fn log_task(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Message> {
     let mut shards = billing.logs.shards.lock();
     let log = shards.entry(shard).or_insert_with(|| {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -71,18 +71,20 @@
 struct LogTask {
     shard: u32,
     billing: Weak<Billing>,
-    tx: mpsc::WeakUnboundedSender<Mail>,
+    tx: mpsc::WeakUnboundedSender<Message>,
     tickets: Tickets<Outcome>,
 }
 
 impl LogTask {
-    async fn run(mut self, mut machine: RequestLog, mut rx: mpsc::UnboundedReceiver<Mail>) {
+    async fn run(mut self, mut machine: RequestLog, mut rx: mpsc::UnboundedReceiver<Message>) {
         while let Some(mail) = rx.recv().await {
             let Some(billing) = self.billing.upgrade() else { return };
             let event = match mail {
-                Mail::Event(event) => event,
-                Mail::Submitted(entry, reply) => Event::Submitted(self.tickets.add(reply), entry),
-                Mail::Dump(reply) => {
+                Message::Event(event) => event,
+                Message::Submitted(entry, reply) => {
+                    Event::Submitted(self.tickets.add(reply), entry)
+                }
+                Message::Dump(reply) => {
                     let dump = LogDump {
                         remembered: machine.tracked_requests(),
                         waiting: machine.pending_entries(),
@@ -95,11 +97,11 @@
                 }
             };
             let commands = machine.handle(billing.fleet.base.clock.unix_ms(), event);
-            self.carry_out(&billing, commands);
+            self.execute(&billing, commands);
         }
     }
 
-    fn carry_out(&mut self, billing: &Arc<Billing>, commands: Vec<Command>) {
+    fn execute(&mut self, billing: &Arc<Billing>, commands: Vec<Command>) {
         let mut wake_at: Option<Millis> = None;
         for command in commands {
             match command {
@@ -123,13 +125,13 @@
         }
         if let Some(at) = wake_at {
             let wait = at.saturating_sub(billing.fleet.base.clock.unix_ms());
-            after(&self.tx, wait, Mail::Event(Event::Tick));
+            after(&self.tx, wait, Message::Event(Event::Tick));
         }
     }
 }
 
-async fn event(work: impl Future<Output = Event>) -> Mail {
-    Mail::Event(work.await)
+async fn event(work: impl Future<Output = Event>) -> Message {
+    Message::Event(work.await)
 }
 
 async fn find_newest(billing: Arc<Billing>, shard: u32) -> Event {
--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -13,7 +13,6 @@
 //! peers.
 
 pub mod allotment;
-pub mod ask;
 pub mod borrow;
 pub mod budgets;
 pub mod collect;
@@ -23,7 +22,8 @@
 pub mod owner_tasks;
 pub mod ownership;
 pub mod ration;
+pub mod rebalance;
 pub mod reserve;
 pub mod statement;
-pub mod tend;
 pub mod terms;
+pub mod token_request;
--- a/crates/daemon/src/budget/allotment.rs
+++ b/crates/daemon/src/budget/allotment.rs
@@ -7,7 +7,7 @@
 use bankcove_core::owner::RETRY_SOON_MS;
 
 use crate::budget::budgets::Budgets;
-use crate::budget::reserve::{Source, obtain, prepare};
+use crate::budget::reserve::{TokenSource, obtain, prefetch};
 use crate::peer::{AllotAnswer, Refusal};
 
 /// Hands tokens on to a daemon that takes this one for the owner.
@@ -37,10 +37,10 @@
         Err(_) => {
             // The next draw serves all that wait by then, not one after the other.
             budgets.holder().record_unmet(&ask);
-            obtain(budgets, budget, Source::Store, arrived, try_now).await
+            obtain(budgets, budget, TokenSource::Store, arrived, try_now).await
         }
     };
-    prepare(budgets, budget);
+    prefetch(budgets, budget);
     match allotted {
         Ok(allotted) => AllotAnswer::Allotted(allotted),
         Err(refusal) => AllotAnswer::Refused(refusal),
--- a/crates/daemon/src/budget/borrow.rs
+++ b/crates/daemon/src/budget/borrow.rs
@@ -13,7 +13,7 @@
 use futures::future::join_all;
 
 use crate::budget::budgets::Budgets;
-use crate::budget::terms::terms;
+use crate::budget::terms::draw_terms;
 use crate::peer::PeerServiceClient;
 
 /// Peers asked at once: all others of a small fleet, others each time in a large
@@ -57,7 +57,7 @@
     peer: &Peer,
     tokens: Tokens,
 ) -> Tokens {
-    let terms = terms(budgets, budget);
+    let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let mut ask = budgets.holder().token_request(&budget.name, peer.incarnation, 0, &terms, now);
     ask.want = tokens;
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -17,7 +17,7 @@
 use crate::peer::Refusal;
 
 /// Shortest time between two draws ahead of one budget.
-const DRAW_AHEAD_MS: Millis = 500;
+const MIN_PREFETCH_INTERVAL_MS: Millis = 500;
 
 /// Mixed into the shard's number, so that budget shards and log shards do not
 /// share owners.
@@ -25,7 +25,7 @@
 
 /// The outcome of the last draw that brought too little.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct LastShort {
+pub(super) struct LastShortDraw {
     pub(super) asked_at: Millis,
     pub(super) need: Tokens,
     pub(super) refusal: Option<Refusal>,
@@ -33,7 +33,7 @@
 
 /// The last draw ahead of one budget.
 #[derive(Debug, Default, Clone, Copy)]
-struct DrawAhead {
+struct Prefetch {
     started_at: Option<Millis>,
     running: bool,
 }
@@ -52,13 +52,13 @@
     pub stopping: CancellationToken,
     holder: Mutex<Holder>,
     /// The shards that this daemon owns.
-    pub owners: OwnerTasks,
-    pub(super) draws: Mutex<HashMap<Name, Arc<tokio::sync::Mutex<LastShort>>>>,
+    pub owner_tasks: OwnerTasks,
+    pub(super) last_short_draws: Mutex<HashMap<Name, Arc<tokio::sync::Mutex<LastShortDraw>>>>,
     /// Draws ahead have a place of their own: they wait for others at the owner,
     /// and requests that need tokens now must not wait behind them.
-    ahead: Mutex<HashMap<Name, DrawAhead>>,
+    prefetches: Mutex<HashMap<Name, Prefetch>>,
     /// Holders that did not answer a collection, and until when they are left out.
-    pub silent: Mutex<HashMap<Incarnation, Millis>>,
+    pub unresponsive: Mutex<HashMap<Incarnation, Millis>>,
     marks: Mutex<WitnessMarks>,
 }
 
@@ -79,10 +79,10 @@
             leaving,
             stopping,
             holder,
-            owners: OwnerTasks::default(),
-            draws: Mutex::new(HashMap::new()),
-            ahead: Mutex::new(HashMap::new()),
-            silent: Mutex::new(HashMap::new()),
+            owner_tasks: OwnerTasks::default(),
+            last_short_draws: Mutex::new(HashMap::new()),
+            prefetches: Mutex::new(HashMap::new()),
+            unresponsive: Mutex::new(HashMap::new()),
             marks: Mutex::new(WitnessMarks::default()),
         }
     }
@@ -94,19 +94,19 @@
 
     /// Whether a draw ahead may begin now: none runs, whose tokens this one would
     /// bring as well, and the last one is not too recent.
-    pub(crate) fn begin_ahead(&self, budget: &Name, now: Millis) -> bool {
-        let mut ahead = self.ahead.lock();
+    pub(crate) fn begin_prefetch(&self, budget: &Name, now: Millis) -> bool {
+        let mut ahead = self.prefetches.lock();
         let last = ahead.entry(budget.clone()).or_default();
-        let is_recent = last.started_at.is_some_and(|at| now < at + DRAW_AHEAD_MS);
+        let is_recent = last.started_at.is_some_and(|at| now < at + MIN_PREFETCH_INTERVAL_MS);
         if last.running || is_recent {
             return false;
         }
-        *last = DrawAhead { started_at: Some(now), running: true };
+        *last = Prefetch { started_at: Some(now), running: true };
         true
     }
 
-    pub(crate) fn end_ahead(&self, budget: &Name) {
-        if let Some(last) = self.ahead.lock().get_mut(budget) {
+    pub(crate) fn end_prefetch(&self, budget: &Name) {
+        if let Some(last) = self.prefetches.lock().get_mut(budget) {
             last.running = false;
         }
     }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -56,7 +56,7 @@
 }
 
 /// Sends a peer what is free and what is sealed, as far as it can be opened.
-pub async fn give_all(
+pub async fn send_free_tokens(
     budgets: &Arc<Budgets>,
     budget: &Name,
     receiver: Incarnation,
@@ -74,13 +74,13 @@
 
 /// Collects what other holders have free of a budget.
 pub async fn gather(budgets: Arc<Budgets>, budget: Name, listed: Vec<HolderRef>) -> Event {
-    let holders = with_unlisted(&budgets, &budget, listed);
+    let holders = add_unlisted_holders(&budgets, &budget, listed);
     if budgets.holder().sealed(&budget) > 0 {
         open(&budgets, &budget, Tokens::MAX).await;
     }
     let now = budgets.fleet.base.clock.now();
     let silent: HashSet<Incarnation> = {
-        let mut silent = budgets.silent.lock();
+        let mut silent = budgets.unresponsive.lock();
         silent.retain(|_, until| *until > now);
         silent.keys().copied().collect()
     };
@@ -103,7 +103,11 @@
 
 /// Adds those that may hold tokens without a grant: whom this daemon has sent
 /// some, and peers that may have collected as owners before it.
-fn with_unlisted(budgets: &Arc<Budgets>, budget: &Name, listed: Vec<HolderRef>) -> Vec<HolderRef> {
+fn add_unlisted_holders(
+    budgets: &Arc<Budgets>,
+    budget: &Name,
+    listed: Vec<HolderRef>,
+) -> Vec<HolderRef> {
     let receivers: HashSet<Incarnation> = budgets.holder().receivers(budget).into_iter().collect();
     let key =
         OWNER_KEY + u64::from(shard_of_budget(budget, budgets.fleet.base.cfg.limits.budget_shards));
@@ -148,7 +152,7 @@
         }
         None => {
             let until = budgets.fleet.base.clock.now() + SILENT_HOLDER_MS;
-            budgets.silent.lock().insert(incarnation, until);
+            budgets.unresponsive.lock().insert(incarnation, until);
             true
         }
     }
@@ -174,7 +178,7 @@
         let request = Request::Reclaim { budget, holder: gone, witness: attests, opened };
         // Collections are the owner's own work, so that its task runs.
         let shard = shard_of_budget(request.budget(), limits.budget_shards);
-        let answer = budgets.owners.ask(shard, request).await.map(|answer| answer.reply);
+        let answer = budgets.owner_tasks.ask(shard, request).await.map(|answer| answer.reply);
         slog::info!(budgets.fleet.base.log, "grant reclaimed"; "holder" => %gone, "answer" => ?answer);
         return;
     }
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -12,8 +12,8 @@
 use crate::budget::budgets::{Budgets, OWNER_KEY};
 use crate::budget::collect::witnesses;
 use crate::budget::hand_over::hand_over;
-use crate::budget::owner::{ask_local_owner, shard_of_request, store_answers};
-use crate::budget::terms::terms;
+use crate::budget::owner::{ask_local_owner, is_store_reachable, shard_of_request};
+use crate::budget::terms::draw_terms;
 use crate::peer::{OwnerAnswer, PeerServiceClient, Refusal};
 
 /// Peers that are asked to write for a daemon that does not reach the store.
@@ -25,7 +25,7 @@
     budget: &Budget,
     need: Tokens,
 ) -> Result<(), Refusal> {
-    let terms = terms(budgets, budget);
+    let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let address = budgets.fleet.base.cfg.peer_address();
     let witnesses = witnesses(budgets);
@@ -147,7 +147,7 @@
 /// Gives every unspent token back to the store, for a planned stop. Returns
 /// whether the store has recorded all of it.
 pub async fn retire(budgets: &Arc<Budgets>) -> bool {
-    if !store_answers(budgets).await {
+    if !is_store_reachable(budgets).await {
         // What a peer has is not debited a second time should the store be back.
         hand_over(budgets).await;
         return false;
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -28,13 +28,13 @@
     let heir = peers.into_iter().find_map(|peer| Some((peer.incarnation?, peer)));
     let Some((incarnation, peer)) = heir else { return };
     let names: Vec<Name> = budgets.holder().accounts().keys().cloned().collect();
-    let sent = names.iter().map(|budget| hand_over_one(budgets, budget, incarnation, &peer));
+    let sent = names.iter().map(|budget| hand_over_budget(budgets, budget, incarnation, &peer));
     let taken = join_all(sent).await.into_iter().filter(|taken| *taken).count();
     slog::info!(budgets.fleet.base.log, "tokens handed over";
         "peer" => %peer.name, "budgets" => names.len(), "taken" => taken);
 }
 
-async fn hand_over_one(
+async fn hand_over_budget(
     budgets: &Arc<Budgets>,
     budget: &Name,
     receiver: Incarnation,
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -12,8 +12,8 @@
 use crate::base::mailbox::{Tickets, after, later};
 use crate::budget::budgets::Budgets;
 use crate::budget::collect::gather;
-use crate::budget::owner_tasks::{Mail, OwnerDump};
-use crate::budget::terms::terms;
+use crate::budget::owner_tasks::{Message, OwnerDump};
+use crate::budget::terms::draw_terms;
 use crate::peer::OwnerAnswer;
 
 /// The shard that there is in any number of them.
@@ -25,7 +25,7 @@
     begin(budgets, shard);
     let away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
     let away = OwnerAnswer { reply: away, sent: None };
-    budgets.owners.ask(shard, request).await.unwrap_or(away)
+    budgets.owner_tasks.ask(shard, request).await.unwrap_or(away)
 }
 
 /// The shard that a request is about.
@@ -35,7 +35,7 @@
 
 /// Begins the task of a shard unless it runs.
 fn begin(budgets: &Arc<Budgets>, shard: u32) {
-    let mut owners = budgets.owners.tasks.lock();
+    let mut owners = budgets.owner_tasks.tasks.lock();
     owners.entry(shard).or_insert_with(|| {
         let (tx, rx) = mpsc::unbounded_channel();
         let task = OwnerTask {
@@ -63,19 +63,19 @@
 struct OwnerTask {
     shard: u32,
     budgets: Weak<Budgets>,
-    tx: mpsc::WeakUnboundedSender<Mail>,
+    tx: mpsc::WeakUnboundedSender<Message>,
     tickets: Tickets<OwnerAnswer>,
     /// Version of the shard that the holder was told of last.
     told: Option<u64>,
 }
 
 impl OwnerTask {
-    async fn run(mut self, mut machine: Owner, mut rx: mpsc::UnboundedReceiver<Mail>) {
+    async fn run(mut self, mut machine: Owner, mut rx: mpsc::UnboundedReceiver<Message>) {
         while let Some(mail) = rx.recv().await {
             let Some(budgets) = self.budgets.upgrade() else { return };
             let event = match mail {
-                Mail::Event(event) => event,
-                Mail::Asked(request, reply) => {
+                Message::Event(event) => event,
+                Message::Request(request, reply) => {
                     machine.enqueue(
                         budgets.fleet.base.clock.now(),
                         self.tickets.add(reply),
@@ -87,7 +87,7 @@
                     }
                     Event::Tick
                 }
-                Mail::Dump(reply) => {
+                Message::Dump(reply) => {
                     let dump =
                         OwnerDump { counts: machine.counts(), shard: machine.shard().cloned() };
                     // Whoever asked may have gone away.
@@ -96,22 +96,22 @@
                 }
             };
             let commands = machine.handle(budgets.fleet.base.clock.now(), event);
-            self.tell_holder(&budgets, &machine);
-            self.carry_out(&budgets, commands);
+            self.update_holder_outlook(&budgets, &machine);
+            self.execute(&budgets, commands);
         }
     }
 
     /// Tells this daemon's holder what any read or write of the shard shows.
-    fn tell_holder(&mut self, budgets: &Budgets, machine: &Owner) {
+    fn update_holder_outlook(&mut self, budgets: &Budgets, machine: &Owner) {
         let Some((version, shard)) = machine.versioned_shard() else { return };
         if budgets.fleet.base.cfg.limits.witnesses > 0 || self.told == Some(version) {
             return;
         }
         self.told = Some(version);
-        tell_holder(budgets, shard);
+        update_holder_outlook(budgets, shard);
     }
 
-    fn carry_out(&mut self, budgets: &Arc<Budgets>, commands: Vec<Command>) {
+    fn execute(&mut self, budgets: &Arc<Budgets>, commands: Vec<Command>) {
         let mut wake_at: Option<Millis> = None;
         for command in commands {
             match command {
@@ -141,14 +141,14 @@
         }
         if let Some(at) = wake_at {
             let wait = at.saturating_sub(budgets.fleet.base.clock.now());
-            after(&self.tx, wait, Mail::Event(Event::Tick));
+            after(&self.tx, wait, Message::Event(Event::Tick));
         }
     }
 }
 
 /// Tells this daemon's holder what the shard shows of each budget: its own last draw may
 /// be seconds old, in which others have spent.
-fn tell_holder(budgets: &Budgets, shard: &Shard) {
+fn update_holder_outlook(budgets: &Budgets, shard: &Shard) {
     let now = budgets.fleet.base.clock.now();
     let table = budgets.table.load();
     let Some(table) = table.as_ref() else { return };
@@ -160,17 +160,17 @@
         let mut ledger = ledger.clone();
         // The next draw writes it; until then nobody is refused what was topped up.
         ledger.update_row(row.tokens, row.version);
-        let terms = terms(budgets, row);
+        let terms = draw_terms(budgets, row);
         let outlook = ledger.outlook(budgets.fleet.base.incarnation, &terms);
         budgets.holder().set_outlook(budget, outlook, now);
     }
 }
 
 /// Reads the shard of a budget, to know how much is left of it.
-pub async fn look_at_store(budgets: &Arc<Budgets>, budget: &Name) {
+pub async fn refresh_outlook(budgets: &Arc<Budgets>, budget: &Name) {
     let shard = shard_of_budget(budget, budgets.fleet.base.cfg.limits.budget_shards);
     if let Event::Loaded(_, shard) = load(Arc::clone(budgets), shard).await {
-        tell_holder(budgets, &shard);
+        update_holder_outlook(budgets, &shard);
     }
 }
 
@@ -179,7 +179,7 @@
 }
 
 /// Whether the store answers now: one read of it, unless it is known to be away.
-pub async fn store_answers(budgets: &Arc<Budgets>) -> bool {
+pub async fn is_store_reachable(budgets: &Arc<Budgets>) -> bool {
     !matches!(load(Arc::clone(budgets), FIRST_SHARD).await, Event::StoreUnavailable)
 }
 
@@ -251,6 +251,6 @@
     OwnerAnswer { reply, sent: Some((budgets.fleet.base.incarnation, cumulative)) }
 }
 
-async fn event(work: impl Future<Output = Event>) -> Mail {
-    Mail::Event(work.await)
+async fn event(work: impl Future<Output = Event>) -> Message {
+    Message::Event(work.await)
 }
--- a/crates/daemon/src/budget/owner_tasks.rs
+++ b/crates/daemon/src/budget/owner_tasks.rs
@@ -11,9 +11,9 @@
 use crate::peer::OwnerAnswer;
 
 /// What a task is told.
-pub(super) enum Mail {
+pub(super) enum Message {
     /// It is asked as the owner.
-    Asked(Request, oneshot::Sender<OwnerAnswer>),
+    Request(Request, oneshot::Sender<OwnerAnswer>),
     /// Something has happened.
     Event(Event),
     /// It is to tell of itself.
@@ -32,7 +32,7 @@
 /// The shards that this daemon owns, or has acted as the owner of.
 #[derive(Debug, Default)]
 pub struct OwnerTasks {
-    pub(super) tasks: Mutex<HashMap<u32, mpsc::UnboundedSender<Mail>>>,
+    pub(super) tasks: Mutex<HashMap<u32, mpsc::UnboundedSender<Message>>>,
 }
 
 impl OwnerTasks {
@@ -42,7 +42,7 @@
         let mut dumps = HashMap::new();
         for (shard, owner) in owners {
             let (tx, rx) = oneshot::channel();
-            if owner.send(Mail::Dump(tx)).is_ok()
+            if owner.send(Message::Dump(tx)).is_ok()
                 && let Ok(dump) = rx.await
             {
                 dumps.insert(shard, dump);
@@ -55,7 +55,7 @@
     pub(super) async fn ask(&self, shard: u32, request: Request) -> Option<OwnerAnswer> {
         let task = self.tasks.lock().get(&shard).cloned()?;
         let (tx, rx) = oneshot::channel();
-        task.send(Mail::Asked(request, tx)).ok()?;
+        task.send(Message::Request(request, tx)).ok()?;
         rx.await.ok()
     }
 }
--- a/crates/daemon/src/budget/ration.rs
+++ b/crates/daemon/src/budget/ration.rs
@@ -8,7 +8,7 @@
 use bankcove_core::{Millis, Tokens};
 
 use crate::budget::budgets::Budgets;
-use crate::budget::owner::look_at_store;
+use crate::budget::owner::refresh_outlook;
 
 /// What is known of the rest of a budget is looked up anew before a request is refused
 /// by it, when it is older than this: a top-up or other daemons' tokens may be there.
@@ -29,10 +29,10 @@
         return Tokens::MAX;
     }
     let by_last_word = known_ration(budgets, budget, demand);
-    if demand.tokens <= by_last_word || !is_word_old(budgets, budget) {
+    if demand.tokens <= by_last_word || !is_outlook_stale(budgets, budget) {
         return by_last_word;
     }
-    if !budgets.begin_ahead(&budget.name, budgets.fleet.base.clock.now()) {
+    if !budgets.begin_prefetch(&budget.name, budgets.fleet.base.clock.now()) {
         return by_last_word;
     }
     // In a task of its own, so that it ends also when the caller goes away meanwhile.
@@ -47,12 +47,12 @@
     budgets.holder().ration(&budget.name, demand.ration_s, demand.rank, now)
 }
 
-fn is_word_old(budgets: &Budgets, budget: &Budget) -> bool {
+fn is_outlook_stale(budgets: &Budgets, budget: &Budget) -> bool {
     let age = budgets.holder().outlook_age(&budget.name, budgets.fleet.base.clock.now());
     age.is_some_and(|age| age > LOOK_AGAIN_MS)
 }
 
 async fn look_again(budgets: Arc<Budgets>, budget: Budget) {
-    look_at_store(&budgets, &budget.name).await;
-    budgets.end_ahead(&budget.name);
+    refresh_outlook(&budgets, &budget.name).await;
+    budgets.end_prefetch(&budget.name);
 }
--- a/crates/daemon/src/budget/tend.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -6,12 +6,12 @@
 use bankcove_core::members::Peer;
 use bankcove_core::table::Budget;
 
-use crate::budget::ask::ask_for_tokens;
 use crate::budget::budgets::Budgets;
-use crate::budget::owner::store_answers;
+use crate::budget::owner::is_store_reachable;
 use crate::budget::ownership::owners_to_ask;
-use crate::budget::reserve::{Source, prepare, refill};
-use crate::budget::terms::terms;
+use crate::budget::reserve::{TokenSource, prefetch, refill};
+use crate::budget::terms::draw_terms;
+use crate::budget::token_request::request_tokens;
 
 /// Pause between two looks at what is held.
 const TEND: Duration = Duration::from_millis(1_000);
@@ -23,7 +23,7 @@
 /// daemon ends: what is held too much would be lost with this host, and is
 /// missing elsewhere; what is held too little is missing in a cut. A daemon that
 /// stops needs next to nothing: what streams leave over goes back as they end.
-pub async fn tend(budgets: Arc<Budgets>) {
+pub async fn rebalance(budgets: Arc<Budgets>) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(TEND) => {}
@@ -33,12 +33,12 @@
         log_holdings(&budgets);
         let Some(table) = budgets.table.load_full() else { continue };
         let draws = table.budgets.iter().any(|budget| owners_to_ask(&budgets, budget).is_empty());
-        if budgets.leaving.is_cancelled() && draws && !store_answers(&budgets).await {
+        if budgets.leaving.is_cancelled() && draws && !is_store_reachable(&budgets).await {
             // Debited before the outage is known, it could not be handed to a peer.
             continue;
         }
         for budget in &table.budgets {
-            tend_one(&budgets, budget);
+            rebalance_budget(&budgets, budget);
         }
     }
 }
@@ -72,8 +72,8 @@
     std::future::pending().await
 }
 
-fn tend_one(budgets: &Arc<Budgets>, budget: &Budget) {
-    let terms = terms(budgets, budget);
+fn rebalance_budget(budgets: &Arc<Budgets>, budget: &Budget) {
+    let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let owner = owners_to_ask(budgets, budget).into_iter().next();
     if owner.is_none() && budgets.fleet.contact.is_store_away(now) {
@@ -86,31 +86,31 @@
         }
         // Without word of its start the owner would not take in what goes back to it.
         Some(owner) => {
-            meet_owner(budgets, budget, owner);
+            query_owner_incarnation(budgets, budget, owner);
             0
         }
         None => budgets.holder().return_surplus_to_store(&budget.name, &terms, now),
     };
     if returned == 0 {
         if !budgets.stopping.is_cancelled() {
-            prepare(budgets, budget);
+            prefetch(budgets, budget);
         }
         return;
     }
     slog::info!(budgets.fleet.base.log, "tokens given back"; "budget" => %budget.name, "tokens" => returned);
     let (budgets, budget) = (Arc::clone(budgets), budget.clone());
     // Debited already: a draw that is lost is told again by the next one.
-    tokio::spawn(async move { refill(&budgets, &budget, 0, Source::Owner(None)).await });
+    tokio::spawn(async move { refill(&budgets, &budget, 0, TokenSource::Owner(None)).await });
 }
 
 /// Asks an owner that was never heard for nothing, if there is something to give back to
 /// it: its answer tells its start. Hosts that were owners while a fleet was starting kept
 /// a tenth of the largest budget all day without it.
-fn meet_owner(budgets: &Arc<Budgets>, budget: &Budget, owner: &Peer) {
+fn query_owner_incarnation(budgets: &Arc<Budgets>, budget: &Budget, owner: &Peer) {
     if budgets.holder().free(&budget.name) == 0 {
         return;
     }
     let (budgets, budget, owner) = (Arc::clone(budgets), budget.clone(), owner.clone());
     // The next look gives back, or meets the owner again.
-    tokio::spawn(async move { ask_for_tokens(&budgets, &budget, 0, None, &owner).await });
+    tokio::spawn(async move { request_tokens(&budgets, &budget, 0, None, &owner).await });
 }
--- a/crates/daemon/src/budget/reserve.rs
+++ b/crates/daemon/src/budget/reserve.rs
@@ -7,13 +7,13 @@
 use bankcove_core::table::Budget;
 use bankcove_core::{Millis, Tokens};
 
-use crate::budget::ask::ask_for_tokens;
 use crate::budget::borrow;
-use crate::budget::budgets::{Budgets, LastShort};
+use crate::budget::budgets::{Budgets, LastShortDraw};
 use crate::budget::collect::open;
 use crate::budget::draws::draw;
 use crate::budget::ownership::owners;
-use crate::budget::terms::terms;
+use crate::budget::terms::draw_terms;
+use crate::budget::token_request::request_tokens;
 use crate::peer::Refusal;
 
 /// Draws for one request before it is refused: each may bring tokens that
@@ -26,7 +26,7 @@
 
 /// Where more tokens come from.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Source {
+pub(crate) enum TokenSource {
     /// The budget's owner, in a large fleet; else the store.
     Owner(Option<RequestDemand>),
     /// The store: this daemon was asked as the owner, and asks no further.
@@ -46,22 +46,22 @@
     let try_now = || budgets.holder().reserve(&budget.name, demand.tokens, arrived);
     if let Ok(reservation) = try_now() {
         if budgets.fleet.base.cfg.limits.witnesses > 0 {
-            prepare(budgets, budget);
+            prefetch(budgets, budget);
         }
         return Ok(reservation);
     }
-    obtain(budgets, budget, Source::Owner(Some(demand)), arrived, try_now).await
+    obtain(budgets, budget, TokenSource::Owner(Some(demand)), arrived, try_now).await
 }
 
 /// Draws until `try_now` has what it takes.
 pub(crate) async fn obtain<T>(
     budgets: &Arc<Budgets>,
     budget: &Budget,
-    source: Source,
+    source: TokenSource,
     arrived: Millis,
     try_now: impl Fn() -> Result<T, Shortfall>,
 ) -> Result<T, Refusal> {
-    let last = Arc::clone(budgets.draws.lock().entry(budget.name.clone()).or_default());
+    let last = Arc::clone(budgets.last_short_draws.lock().entry(budget.name.clone()).or_default());
     let mut last = last.lock().await;
     for _ in 0..DRAWS {
         let Shortfall { missing } = match try_now() {
@@ -88,7 +88,7 @@
         if budgets.fleet.is_small() && borrow::borrow(budgets, budget, missing).await {
             continue;
         }
-        *last = LastShort { asked_at, need: missing, refusal: Some(refusal) };
+        *last = LastShortDraw { asked_at, need: missing, refusal: Some(refusal) };
         return Err(refusal);
     }
     // Others were faster each time.
@@ -100,16 +100,16 @@
     budgets: &Arc<Budgets>,
     budget: &Budget,
     need: Tokens,
-    source: Source,
+    source: TokenSource,
 ) -> Result<(), Refusal> {
     let (owners, demand) = match source {
-        Source::Owner(demand) => (owners(budgets, budget), demand),
-        Source::Store => (Vec::new(), None),
+        TokenSource::Owner(demand) => (owners(budgets, budget), demand),
+        TokenSource::Store => (Vec::new(), None),
     };
     let has_owners = !owners.is_empty();
     for owner in owners {
         let Some(owner) = owner else { return draw(budgets, budget, need).await };
-        if let Some(outcome) = ask_for_tokens(budgets, budget, need, demand, &owner).await {
+        if let Some(outcome) = request_tokens(budgets, budget, need, demand, &owner).await {
             return outcome;
         }
     }
@@ -123,8 +123,8 @@
 }
 
 /// Opens and draws ahead when little is left, away from the path of any request.
-pub(crate) fn prepare(budgets: &Arc<Budgets>, budget: &Budget) {
-    let terms = terms(budgets, budget);
+pub(crate) fn prefetch(budgets: &Arc<Budgets>, budget: &Budget) {
+    let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let (closes, runs_low) = {
         let holder = budgets.holder();
@@ -133,7 +133,7 @@
     if !closes && !runs_low {
         return;
     }
-    if !budgets.begin_ahead(&budget.name, now) {
+    if !budgets.begin_prefetch(&budget.name, now) {
         return;
     }
     let (budgets, budget) = (Arc::clone(budgets), budget.clone());
@@ -141,11 +141,11 @@
         let is_opened = closes && open(&budgets, &budget.name, 0).await;
         if !is_opened {
             // Nobody waits for it: the next request finds out what came.
-            let _refused = refill(&budgets, &budget, 0, Source::Owner(None)).await;
+            let _refused = refill(&budgets, &budget, 0, TokenSource::Owner(None)).await;
         }
-        budgets.end_ahead(&budget.name);
+        budgets.end_prefetch(&budget.name);
         if budgets.holder().has_unmet(&budget.name) {
-            prepare(&budgets, &budget);
+            prefetch(&budgets, &budget);
         }
     });
 }
--- a/crates/daemon/src/budget/terms.rs
+++ b/crates/daemon/src/budget/terms.rs
@@ -25,7 +25,7 @@
 
 /// The terms of a budget's row for this daemon now: how far ahead it draws, and for whom,
 /// follows from the size of the fleet, from who owns the budget, and from a planned stop.
-pub(crate) fn terms(budgets: &Budgets, budget: &Budget) -> DrawTerms {
+pub(crate) fn draw_terms(budgets: &Budgets, budget: &Budget) -> DrawTerms {
     let terms = DrawTerms {
         tokens: budget.tokens,
         version: budget.version,
--- a/crates/daemon/src/budget/ask.rs
+++ b/crates/daemon/src/budget/token_request.rs
@@ -9,12 +9,12 @@
 use bankcove_core::table::Budget;
 
 use crate::budget::budgets::Budgets;
-use crate::budget::terms::terms;
+use crate::budget::terms::draw_terms;
 use crate::peer::{AllotAnswer, PeerServiceClient, Refusal};
 
 /// Asks one peer for tokens, for the request that `demand` tells of or ahead; none when it
 /// does not answer, or has none and is cut off from the store itself.
-pub async fn ask_for_tokens(
+pub async fn request_tokens(
     budgets: &Arc<Budgets>,
     budget: &Budget,
     need: Tokens,
@@ -24,7 +24,7 @@
     if budgets.fleet.contact.is_alone() {
         return None;
     }
-    let terms = terms(budgets, budget);
+    let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let ask = budgets.holder().token_request(&budget.name, owner.incarnation, need, &terms, now);
     let ask = TokenRequest { demand, ..ask };
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -19,8 +19,8 @@
 use crate::base::config::{Adapter, Config};
 use crate::base::{logging, store_calls};
 use crate::bill::bills;
-use crate::budget::{draws, tend};
-use crate::crashes::keep;
+use crate::budget::{draws, rebalance};
+use crate::crashes::persistence;
 use crate::daemon::Daemon;
 use crate::entry::{self, Entry};
 use crate::error::{Error, Result};
@@ -141,12 +141,12 @@
                 let callers = caller_router(Arc::clone(&api));
                 sides.push(serve(&daemon.cfg.caller_listen, callers).await?);
                 tokio::spawn(backend::follow_load(api));
-                tokio::spawn(bills::hand_over(Arc::clone(&daemon.billing)));
+                tokio::spawn(bills::retry_pending(Arc::clone(&daemon.billing)));
             }
         }
         if daemon.cfg.limits.witnesses == 0 {
             // Without sealed grants all that is held is lost with its holder.
-            tokio::spawn(tend::tend(Arc::clone(&daemon.budgets)));
+            tokio::spawn(rebalance::rebalance(Arc::clone(&daemon.budgets)));
         }
         tokio::spawn(store_calls::tell(daemon.fleet.base.clone(), daemon.store.clone()));
         tokio::spawn(announce(Arc::clone(&daemon)));
@@ -154,9 +154,9 @@
         tokio::spawn(membership::send_heartbeats(Arc::clone(&daemon.membership)));
         tokio::spawn(membership::send_at_once(Arc::clone(&daemon.membership)));
         tokio::spawn(unread_news::tell(Arc::clone(&daemon.membership)));
-        tokio::spawn(keep::keep(Arc::clone(&daemon.crashes)));
+        tokio::spawn(persistence::persist_blocks(Arc::clone(&daemon.crashes)));
         tokio::spawn(Arc::clone(&daemon.crashes).decide());
-        tokio::spawn(Arc::clone(&daemon.crashes).tell_news());
+        tokio::spawn(Arc::clone(&daemon.crashes).send_updates());
         hints::spread::spawn_tell(&daemon.hints);
         tokio::spawn(suspension::watch(daemon.fleet.clone()));
         tokio::spawn(table_sync::watch(Arc::clone(&daemon.view)));
@@ -211,7 +211,7 @@
         }
         slog::info!(daemon.log, "stopped"; "finished" => finished, "retired" => retired,
             "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().total_reserved(),
-            "bills_waiting" => daemon.billing.waiting());
+            "bills_waiting" => daemon.billing.pending_entries());
         // What is open may go on until the platform's kill. Time over: the sides end.
         let _over = daemon.clock.before(deadline, daemon.requests.work.wait()).await;
         self.sides.iter().for_each(|side| side.handle.stop_graceful(CLOSE_TIMEOUT));
@@ -229,7 +229,7 @@
     daemon.requests.stopping.cancel();
     daemon.requests.work.close();
     let finished = daemon.clock.before(deadline, daemon.requests.work.wait()).await.is_some();
-    while daemon.billing.waiting() > 0 && daemon.clock.now() < deadline {
+    while daemon.billing.pending_entries() > 0 && daemon.clock.now() < deadline {
         tokio::time::sleep(STOP_POLL).await;
     }
     finished
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -4,9 +4,9 @@
 //! writes blocks where the loss of all daemons does not reach, and `gate` is what a request
 //! meets before each try. The sides for callers say how each try ended.
 
-pub mod gate;
-pub mod keep;
-pub mod spread;
+pub mod exchange;
+pub mod isolation;
+pub mod persistence;
 mod verify;
 
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-use crate::crashes::gate::Apart;
+use crate::crashes::isolation::IsolatedRuns;
 use crate::fleet::Fleet;
 use crate::fleet::ask_pause::AskPause;
 
@@ -37,22 +37,22 @@
     fleet: Fleet,
     router: Arc<Mutex<Router>>,
     store: Store,
-    book: Mutex<CrashTracker>,
+    tracker: Mutex<CrashTracker>,
     /// Whether anything is known: while nothing is, no request is hashed or looked up.
     is_active: AtomicBool,
     /// [`CrashTracker::digest`] after the last change: at most 0.6 ms to compute, and read by
     /// each of twelve heartbeats a second.
     digest: AtomicU64,
     /// News that peers are to be told next, and when each was taken in.
-    news: Mutex<Vec<(Millis, CrashFacts)>>,
+    updates: Mutex<Vec<(Millis, CrashFacts)>>,
     /// Told when there are some.
-    to_tell: Notify,
+    to_send: Notify,
     /// Told when there are requests to decide on.
     to_decide: Notify,
     /// Requests that run apart.
-    apart: Apart,
+    isolated_runs: IsolatedRuns,
     /// Told when a block is to be kept in the store.
-    to_keep: Notify,
+    to_persist: Notify,
     /// When the facts of a peer were last asked for.
     asked: AskPause,
 }
@@ -64,67 +64,68 @@
             fleet,
             router,
             store,
-            book: Mutex::default(),
+            tracker: Mutex::default(),
             is_active: AtomicBool::new(false),
             digest: AtomicU64::new(0),
-            news: Mutex::default(),
-            to_tell: Notify::new(),
+            updates: Mutex::default(),
+            to_send: Notify::new(),
             to_decide: Notify::new(),
-            apart: Apart::default(),
-            to_keep: Notify::new(),
+            isolated_runs: IsolatedRuns::default(),
+            to_persist: Notify::new(),
             asked: AskPause::default(),
         }
     }
 
-    /// Changes the book by `change`.
+    /// Changes the tracker by `change`.
     fn change<T>(&self, now: Millis, change: impl FnOnce(&mut CrashTracker) -> T) -> T {
-        let mut book = self.book.lock();
-        let changed = change(&mut book);
-        self.digest.store(book.digest(now), Ordering::Relaxed);
-        self.is_active.store(!book.is_empty(), Ordering::Relaxed);
-        if book.has_pending() {
+        let mut tracker = self.tracker.lock();
+        let changed = change(&mut tracker);
+        self.digest.store(tracker.digest(now), Ordering::Relaxed);
+        self.is_active.store(!tracker.is_empty(), Ordering::Relaxed);
+        if tracker.has_pending() {
             self.to_decide.notify_one();
         }
         changed
     }
 
-    /// Reads the book by `read`; none while nothing is known.
+    /// Reads the tracker by `read`; none while nothing is known.
     fn read<T>(&self, read: impl FnOnce(&CrashTracker) -> T) -> Option<T> {
         let is_active = self.is_active.load(Ordering::Relaxed);
-        is_active.then(|| read(&self.book.lock()))
+        is_active.then(|| read(&self.tracker.lock()))
     }
 
     /// How much is remembered.
-    pub fn gauge(&self) -> CrashStats {
-        self.book.lock().stats()
+    pub fn stats(&self) -> CrashStats {
+        self.tracker.lock().stats()
     }
 
     /// What follows for a request that is to run now.
     pub fn verdict(&self, request: impl FnOnce() -> Fingerprint) -> Verdict {
-        self.read(|book| book.verdict(request())).unwrap_or(Verdict::Allowed)
+        self.read(|tracker| tracker.verdict(request())).unwrap_or(Verdict::Allowed)
     }
 
     /// Where a suspect is to run; none for a request that may run anywhere.
-    pub fn place(&self, request: impl FnOnce() -> Fingerprint) -> Option<Placement> {
-        let place = self.read(|book| {
+    pub fn placement(&self, request: impl FnOnce() -> Fingerprint) -> Option<Placement> {
+        let place = self.read(|tracker| {
             let request = request();
-            let is_placed = matches!(book.verdict(request), Verdict::Suspect | Verdict::Isolated);
-            is_placed.then(|| book.placement(request))
+            let is_placed =
+                matches!(tracker.verdict(request), Verdict::Suspect | Verdict::Isolated);
+            is_placed.then(|| tracker.placement(request))
         });
         place.flatten()
     }
 
     /// The connection over which a server was running this request broke.
-    pub fn broke_off(self: &Arc<Self>, choice: &Choice, request: Fingerprint) {
+    pub fn record_disconnect(self: &Arc<Self>, choice: &Choice, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
         // One that leaves ends what it still runs: that is no crash.
         if !self.router.lock().is_current_and_staying(now, &choice.server, choice.started_ms) {
             return;
         }
         let server = ServerStart { name: choice.server.clone(), started_ms: choice.started_ms };
-        let broke = self.change(now, |book| book.record_disconnect(now, &server, request));
+        let broke = self.change(now, |tracker| tracker.record_disconnect(now, &server, request));
         let (is_unsure, news) = broke;
-        self.take_news(&news, Origin::Here);
+        self.process_updates(&news, Origin::Local);
         if is_unsure {
             tokio::spawn(verify::verify(Arc::clone(self), server, choice.address.clone()));
         }
@@ -132,30 +133,30 @@
 
     /// An answer has ended. One that nothing but the end of its connection ends looks whole
     /// as well when its server has crashed, so that it proves no success.
-    pub fn ended(
+    pub fn record_response_end(
         self: &Arc<Self>,
         choice: &Choice,
         is_framed: bool,
         request: impl FnOnce() -> Fingerprint,
     ) {
         if is_framed {
-            self.succeeded(request);
+            self.record_success(request);
         } else {
-            self.broke_off(choice, request());
+            self.record_disconnect(choice, request());
         }
     }
 
     /// A request has ended well.
-    pub fn succeeded(self: &Arc<Self>, request: impl FnOnce() -> Fingerprint) {
+    pub fn record_success(self: &Arc<Self>, request: impl FnOnce() -> Fingerprint) {
         // Nearly all requests are aboard of no crash, and end here.
-        let concerned = self.read(|book| {
+        let concerned = self.read(|tracker| {
             let request = request();
-            book.tracks(request).then_some(request)
+            tracker.tracks(request).then_some(request)
         });
         let Some(request) = concerned.flatten() else { return };
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.record_success(now, request));
-        self.take_news(&news, Origin::Here);
+        let news = self.change(now, |tracker| tracker.record_success(now, request));
+        self.process_updates(&news, Origin::Local);
     }
 
     /// Decides on requests when peers have told who else was aboard, until the daemon ends.
@@ -167,15 +168,15 @@
             }
             tokio::time::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
             let now = self.fleet.base.clock.now();
-            let news = self.change(now, |book| book.decide(now));
-            self.take_news(&news, Origin::Here);
+            let news = self.change(now, |tracker| tracker.decide(now));
+            self.process_updates(&news, Origin::Local);
         }
     }
 
     /// Requests that run nowhere any more.
     pub fn blocks(&self) -> Vec<Block> {
         let now = self.fleet.base.clock.now();
-        self.read(|book| book.blocks(now)).unwrap_or_default()
+        self.read(|tracker| tracker.blocks(now)).unwrap_or_default()
     }
 
     /// Whether the request runs nowhere any more.
@@ -186,23 +187,23 @@
     /// Lets a blocked request run again, here and at all peers.
     pub fn lift(self: &Arc<Self>, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.lift(now, request));
+        let news = self.change(now, |tracker| tracker.lift(now, request));
         slog::info!(self.fleet.base.log, "block lifted"; "fingerprint" => %request);
-        self.to_keep.notify_one();
-        self.take_news(&news, Origin::Here);
+        self.to_persist.notify_one();
+        self.process_updates(&news, Origin::Local);
     }
 
     /// Logs what is new, tells peers, and has blocks kept.
-    fn take_news(self: &Arc<Self>, news: &CrashFacts, origin: Origin) {
+    fn process_updates(self: &Arc<Self>, news: &CrashFacts, origin: Origin) {
         if news.is_empty() {
             return;
         }
-        let is_own = origin == Origin::Here;
+        let is_own = origin == Origin::Local;
         self.log_news(news, is_own);
-        if !news.blocks.is_empty() && (is_own || self.is_keeper(news)) {
-            self.to_keep.notify_one();
+        if !news.blocks.is_empty() && (is_own || self.is_responsible_for_any(news)) {
+            self.to_persist.notify_one();
         }
-        self.tell(news);
+        self.queue_updates(news);
     }
 
     fn log_news(&self, news: &CrashFacts, is_own: bool) {
@@ -226,7 +227,7 @@
 
     /// Whether this daemon writes these blocks although another one found them: the finder may
     /// be lost, or cut off from the store, before it has.
-    fn is_keeper(&self, news: &CrashFacts) -> bool {
+    fn is_responsible_for_any(&self, news: &CrashFacts) -> bool {
         news.blocks.iter().any(|block| self.owns(block.request))
     }
 
@@ -246,9 +247,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// This daemon.
-    Here,
+    Local,
     /// A peer, or the store.
-    Told,
+    Peer,
 }
 
 fn list<T: std::fmt::Display>(items: impl IntoIterator<Item = T>) -> String {
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/exchange.rs
@@ -25,31 +25,31 @@
 
 impl Crashes {
     /// Peers are to be told this, with what else is new by then.
-    pub(super) fn tell(&self, news: &CrashFacts) {
-        self.news.lock().push((self.fleet.base.clock.now(), news.clone()));
-        self.to_tell.notify_one();
+    pub(super) fn queue_updates(&self, news: &CrashFacts) {
+        self.updates.lock().push((self.fleet.base.clock.now(), news.clone()));
+        self.to_send.notify_one();
     }
 
     /// Tells some peers what is new, until the daemon ends.
-    pub async fn tell_news(self: Arc<Self>) {
+    pub async fn send_updates(self: Arc<Self>) {
         loop {
             tokio::select! {
-                () = self.to_tell.notified() => {}
+                () = self.to_send.notified() => {}
                 () = self.fleet.base.ended.cancelled() => return,
             }
             tokio::time::sleep(GATHER).await;
-            let gathered = std::mem::take(&mut *self.news.lock());
+            let gathered = std::mem::take(&mut *self.updates.lock());
             let now = self.fleet.base.clock.now();
             let mut news = CrashFacts::default();
             for (at, facts) in gathered {
                 // A block that seems younger than it is would outlive the word that lifted it.
                 news.merge(&facts.aged(now.saturating_sub(at)));
             }
-            self.tell_some(&news);
+            self.send_to_sample(&news);
         }
     }
 
-    fn tell_some(self: &Arc<Self>, news: &CrashFacts) {
+    fn send_to_sample(self: &Arc<Self>, news: &CrashFacts) {
         let timeout = Duration::from_millis(self.fleet.base.cfg.limits.peer_timeout_ms);
         let peers = self.fleet.members.lock().sample(TOLD_AT_ONCE, rand::random());
         for peer in peers {
@@ -66,16 +66,16 @@
     }
 
     /// Takes in what a peer has told.
-    pub fn told(self: &Arc<Self>, facts: CrashFacts) {
+    pub fn merge_facts(self: &Arc<Self>, facts: CrashFacts) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |book| book.merge(now, facts));
-        self.take_news(&news, Origin::Told);
+        let news = self.change(now, |tracker| tracker.merge(now, facts));
+        self.process_updates(&news, Origin::Peer);
     }
 
     /// All that is known here, for a peer.
     pub fn facts(&self) -> CrashFacts {
         let now = self.fleet.base.clock.now();
-        self.read(|book| book.facts(now)).unwrap_or_default()
+        self.read(|tracker| tracker.facts(now)).unwrap_or_default()
     }
 
     /// Hash of all that is known here; 0 while nothing is.
@@ -87,12 +87,12 @@
     pub fn forget_old(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
-            self.change(now, |book| book.forget_old(now));
+            self.change(now, |tracker| tracker.forget_old(now));
         }
     }
 
     /// A peer's heartbeat had this digest: asks it for what it knows if that is something else.
-    pub fn heard_digest(self: &Arc<Self>, address: &str, told: u64) {
+    pub fn compare_digest(self: &Arc<Self>, address: &str, told: u64) {
         if told == 0 || told == self.digest() {
             return;
         }
@@ -103,7 +103,7 @@
         tokio::spawn(async move {
             let ask = |client: PeerServiceClient, cx| async move { client.crash_facts(cx).await };
             match crashes.fleet.base.peers.call(&address, FETCH_TIMEOUT, ask).await {
-                Some(facts) => crashes.told(facts),
+                Some(facts) => crashes.merge_facts(facts),
                 None => {
                     slog::debug!(crashes.fleet.base.log, "crashes not asked for"; "peer" => &address)
                 }
--- a/crates/daemon/src/crashes/gate.rs
+++ b/crates/daemon/src/crashes/isolation.rs
@@ -20,25 +20,29 @@
 
 /// Requests that run apart here.
 #[derive(Debug, Default)]
-pub struct Apart {
+pub struct IsolatedRuns {
     running: Mutex<HashSet<Fingerprint>>,
 }
 
 /// The one run of a request that may run once more; dropping it ends the run.
-pub struct RunApart {
+pub struct IsolatedRun {
     crashes: Arc<Crashes>,
     request: Fingerprint,
 }
 
-impl Drop for RunApart {
+impl Drop for IsolatedRun {
     fn drop(&mut self) {
-        self.crashes.apart.running.lock().remove(&self.request);
+        self.crashes.isolated_runs.running.lock().remove(&self.request);
     }
 }
 
 impl Crashes {
     /// What follows for the request, once it is known or `deadline` has come.
-    pub async fn settled(&self, deadline: Millis, request: impl Fn() -> Fingerprint) -> Verdict {
+    pub async fn await_verdict(
+        &self,
+        deadline: Millis,
+        request: impl Fn() -> Fingerprint,
+    ) -> Verdict {
         let until = deadline.min(self.fleet.base.clock.now() + MOST_WAIT_MS);
         loop {
             let verdict = self.verdict(&request);
@@ -51,11 +55,11 @@
 
     /// Begins the one run of a request that may run once more; none at another host than its owner,
     /// and while a copy runs.
-    pub fn run_apart(self: &Arc<Self>, request: Fingerprint) -> Option<RunApart> {
+    pub fn begin_isolated_run(self: &Arc<Self>, request: Fingerprint) -> Option<IsolatedRun> {
         if !self.owns(request) {
             return None;
         }
-        let is_first = self.apart.running.lock().insert(request);
-        is_first.then(|| RunApart { crashes: Arc::clone(self), request })
+        let is_first = self.isolated_runs.running.lock().insert(request);
+        is_first.then(|| IsolatedRun { crashes: Arc::clone(self), request })
     }
 }
--- a/crates/daemon/src/crashes/keep.rs
+++ b/crates/daemon/src/crashes/persistence.rs
@@ -33,13 +33,13 @@
 
 /// Blocks as the store keeps them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
-    blocks: BTreeMap<Fingerprint, KeptBlock>,
+struct StoredBlocks {
+    blocks: BTreeMap<Fingerprint, StoredBlock>,
 }
 
 /// One block as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct KeptBlock {
+struct StoredBlock {
     /// When the request was blocked, in milliseconds since 1970.
     blocked_ms: Millis,
     /// Servers that crashed under it.
@@ -47,7 +47,7 @@
 }
 
 /// Reads what earlier starts have kept, then writes each new block, until the daemon ends.
-pub async fn keep(crashes: Arc<Crashes>) {
+pub async fn persist_blocks(crashes: Arc<Crashes>) {
     tokio::select! {
         () = read_then_write(&crashes) => {}
         () = crashes.fleet.base.ended.cancelled() => {}
@@ -56,10 +56,10 @@
 
 async fn read_then_write(crashes: &Arc<Crashes>) {
     for _ in 0..READS {
-        store_answers(crashes).await;
+        wait_for_store(crashes).await;
         match read(crashes).await {
             Ok((_, kept)) => {
-                take_in(crashes, kept);
+                merge_kept(crashes, kept);
                 break;
             }
             Err(e) => {
@@ -69,16 +69,16 @@
         tokio::time::sleep(RETRY).await;
     }
     loop {
-        crashes.to_keep.notified().await;
+        crashes.to_persist.notified().await;
         tokio::time::sleep(SETTLE).await;
         while !write(crashes).await {
             tokio::time::sleep(RETRY).await;
-            store_answers(crashes).await;
+            wait_for_store(crashes).await;
         }
     }
 }
 
-async fn store_answers(crashes: &Crashes) {
+async fn wait_for_store(crashes: &Crashes) {
     let is_heard = || {
         let age = crashes.fleet.contact.store_age(crashes.fleet.base.clock.now());
         age.is_some_and(|age| age < HEARD_MS)
@@ -88,20 +88,20 @@
     }
 }
 
-async fn read(crashes: &Crashes) -> bankcove_ports::Result<(u64, Kept)> {
-    let read = crashes.store.read::<Kept>(Kind::Blocked, OBJECT).await?;
-    Ok(read.map_or((0, Kept::default()), |read| (read.version, read.value)))
+async fn read(crashes: &Crashes) -> bankcove_ports::Result<(u64, StoredBlocks)> {
+    let read = crashes.store.read::<StoredBlocks>(Kind::Blocked, OBJECT).await?;
+    Ok(read.map_or((0, StoredBlocks::default()), |read| (read.version, read.value)))
 }
 
-fn take_in(crashes: &Arc<Crashes>, kept: Kept) {
+fn merge_kept(crashes: &Arc<Crashes>, kept: StoredBlocks) {
     let now_ms = crashes.fleet.base.clock.unix_ms();
-    let block = |(request, kept): (Fingerprint, KeptBlock)| Block {
+    let block = |(request, kept): (Fingerprint, StoredBlock)| Block {
         request,
         age_ms: now_ms.saturating_sub(kept.blocked_ms),
         servers: kept.servers,
     };
     let blocks: Vec<Block> = kept.blocks.into_iter().map(block).collect();
-    crashes.told(CrashFacts { blocks, ..CrashFacts::default() });
+    crashes.merge_facts(CrashFacts { blocks, ..CrashFacts::default() });
 }
 
 /// Writes the blocks that are known here to those that are kept; whether the store has them.
@@ -124,17 +124,18 @@
 }
 
 /// What is kept, without what is over or lifted, and what is known here.
-fn merged(crashes: &Crashes, mut kept: Kept) -> Kept {
+fn merged(crashes: &Crashes, mut kept: StoredBlocks) -> StoredBlocks {
     let (now, now_ms) = (crashes.fleet.base.clock.now(), crashes.fleet.base.clock.unix_ms());
-    let book = crashes.book.lock();
+    let tracker = crashes.tracker.lock();
     kept.blocks.retain(|request, block| {
         let age_ms = now_ms.saturating_sub(block.blocked_ms);
-        age_ms < BLOCK_DURATION_MS && !book.is_cleared_since(*request, now.saturating_sub(age_ms))
+        age_ms < BLOCK_DURATION_MS
+            && !tracker.is_cleared_since(*request, now.saturating_sub(age_ms))
     });
-    for block in book.blocks(now) {
+    for block in tracker.blocks(now) {
         let blocked_ms = now_ms.saturating_sub(block.age_ms);
         let servers = block.servers;
-        kept.blocks.entry(block.request).or_insert(KeptBlock { blocked_ms, servers });
+        kept.blocks.entry(block.request).or_insert(StoredBlock { blocked_ms, servers });
     }
     kept
 }
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -29,11 +29,11 @@
     let has_crashed = has_crashed(&crashes, &server, &address).await;
     let now = crashes.fleet.base.clock.now();
     if has_crashed {
-        let news = crashes.change(now, |book| book.record_crash(now, &server));
-        crashes.take_news(&news, Origin::Here);
+        let news = crashes.change(now, |tracker| tracker.record_crash(now, &server));
+        crashes.process_updates(&news, Origin::Local);
     } else {
         slog::info!(crashes.fleet.base.log, "server broke off and has not crashed"; "server" => %server.name);
-        crashes.change(now, |book| book.record_alive(&server));
+        crashes.change(now, |tracker| tracker.record_alive(&server));
     }
 }
 
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -89,7 +89,7 @@
             call.ran = true;
             open.failed();
             log_try(call, &choice, &problem);
-            entry.requests.crashes.broke_off(&choice, call.fingerprint());
+            entry.requests.crashes.record_disconnect(&choice, call.fingerprint());
             return Tried::Lost;
         }
         Some(Ok(res)) => res,
@@ -151,7 +151,7 @@
             let is_large = e.downcast_ref::<LengthLimitError>().is_some();
             log_try(call, &choice, if is_large { "the answer is too large" } else { "cut short" });
             if !is_large {
-                call.entry.requests.crashes.broke_off(&choice, call.fingerprint());
+                call.entry.requests.crashes.record_disconnect(&choice, call.fingerprint());
             }
             Tried::Lost
         }
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -13,7 +13,7 @@
 use slog::Logger;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::crashes::gate::RunApart;
+use crate::crashes::isolation::IsolatedRun;
 use crate::entry::Entry;
 use crate::entry::backends::Outgoing;
 use crate::entry::link_use::LinkUse;
@@ -67,7 +67,7 @@
     /// See [`Call::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
     /// Its one further run, when it has the same crashes as another request.
-    pub apart: Option<RunApart>,
+    pub apart: Option<IsolatedRun>,
 }
 
 impl Call {
@@ -112,12 +112,13 @@
     /// What the caller of another one is told.
     pub async fn pass_crashes(&mut self) -> Result<(), Refusal> {
         let requests = &self.entry.requests;
-        let refusal = match requests.crashes.settled(self.deadline, || self.fingerprint()).await {
-            Verdict::Allowed | Verdict::Suspect => return Ok(()),
-            Verdict::Isolated if self.may_run_apart() => return Ok(()),
-            Verdict::Isolated | Verdict::Undecided => Refusal::CrashesInDoubt,
-            Verdict::Blocked => Refusal::CrashesServers,
-        };
+        let refusal =
+            match requests.crashes.await_verdict(self.deadline, || self.fingerprint()).await {
+                Verdict::Allowed | Verdict::Suspect => return Ok(()),
+                Verdict::Isolated if self.may_run_apart() => return Ok(()),
+                Verdict::Isolated | Verdict::Undecided => Refusal::CrashesInDoubt,
+                Verdict::Blocked => Refusal::CrashesServers,
+            };
         slog::info!(self.log, "not sent for its crashes";
             "fingerprint" => %self.fingerprint(), "code" => refusal.code());
         // What has run once gets no status that says it has not.
@@ -126,7 +127,7 @@
 
     fn may_run_apart(&mut self) -> bool {
         if self.apart.is_none() {
-            self.apart = self.entry.requests.crashes.run_apart(self.fingerprint());
+            self.apart = self.entry.requests.crashes.begin_isolated_run(self.fingerprint());
         }
         self.apart.is_some()
     }
@@ -211,7 +212,7 @@
     /// [`NoServer`] when none is to be had.
     fn choose(&self) -> Result<Choice, NoServer> {
         let seed = rand::random();
-        let place = self.entry.requests.crashes.place(|| self.fingerprint());
+        let place = self.entry.requests.crashes.placement(|| self.fingerprint());
         let wanted = RoutingRequest {
             pool: self.plan.service.as_str(),
             prefix: place.map_or_else(|| self.prefix(seed), |place| place.key),
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -57,7 +57,7 @@
                 if !is_failure {
                     charge.whole();
                     let requests = &call.entry.requests;
-                    requests.crashes.ended(&choice, is_framed, || call.fingerprint());
+                    requests.crashes.record_response_end(&choice, is_framed, || call.fingerprint());
                     call.link.sent(body.len());
                     log_end(&call, &charge, "answered", status);
                     return Ok(Answer::Whole(status, headers, body));
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -83,7 +83,7 @@
                     self.charge.whole();
                     let requests = &self.call.entry.requests;
                     let request = || self.call.fingerprint();
-                    requests.crashes.ended(&self.choice, self.is_framed, request);
+                    requests.crashes.record_response_end(&self.choice, self.is_framed, request);
                     self.tell_pace();
                     log_end(&self.call, &self.charge, "stream ended", StatusCode::OK);
                     return None;
@@ -96,7 +96,11 @@
             };
             self.open.failed();
             log_try(&self.call, &self.choice, problem);
-            self.call.entry.requests.crashes.broke_off(&self.choice, self.call.fingerprint());
+            self.call
+                .entry
+                .requests
+                .crashes
+                .record_disconnect(&self.choice, self.call.fingerprint());
             if !self.resume().await {
                 return Some(Err(self.break_off(problem)));
             }
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -33,7 +33,7 @@
         "store_heard_ms_ago": daemon.fleet.contact.store_age(now),
         "isolated": daemon.fleet.contact.is_isolated(now, daemon.cfg.limits.isolation_ms),
         "requests_in_flight": daemon.requests.work.len(),
-        "bills_waiting": daemon.billing.waiting(),
+        "bills_waiting": daemon.billing.pending_entries(),
         "peers": peers,
     })
 }
@@ -60,12 +60,12 @@
         "holder": holder,
         "free": free,
         "holdings": holdings,
-        "owners": daemon.budgets.owners.dump().await,
+        "owners": daemon.budgets.owner_tasks.dump().await,
         "request_log": daemon.billing.logs.dump().await,
         "servers": servers,
         "limits": daemon.hints.dump(),
         "crashes": daemon.crashes.facts(),
-        "crashes_remembered": daemon.crashes.gauge(),
+        "crashes_remembered": daemon.crashes.stats(),
         "marks_kept_for_others": daemon.budgets.marks().len(),
         "peer_connections": daemon.peers.len(),
     })
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -117,7 +117,7 @@
         if holder != self.daemon.incarnation {
             return GiveAnswer::OtherIncarnation;
         }
-        collect::give_all(&self.daemon.budgets, &budget, receiver, received, most).await
+        collect::send_free_tokens(&self.daemon.budgets, &budget, receiver, received, most).await
     }
 
     async fn holding(self, _: Context, budget: Name) -> DaemonHolding {
@@ -148,11 +148,11 @@
     }
 
     async fn submit(self, _: Context, entry: Entry) -> Outcome {
-        request_log::submit_here(&self.daemon.billing, entry).await
+        request_log::submit_locally(&self.daemon.billing, entry).await
     }
 
     async fn told_crashes(self, _: Context, facts: CrashFacts) {
-        self.daemon.crashes.told(facts);
+        self.daemon.crashes.merge_facts(facts);
     }
 
     async fn crash_facts(self, _: Context) -> CrashFacts {
@@ -172,7 +172,7 @@
     }
 
     async fn keep_bill(self, _: Context, bill: Bill) {
-        self.daemon.billing.keep(Entry::Bill(bill));
+        self.daemon.billing.enqueue(Entry::Bill(bill));
     }
 }
 
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -5,7 +5,7 @@
 use bankcove_core::router::Choice;
 use bankcove_core::{Millis, Name, Tokens};
 
-use crate::crashes::gate::RunApart;
+use crate::crashes::isolation::IsolatedRun;
 use crate::membership::unread_news::MIN_TOLD_TOKENS;
 use crate::requests::Requests;
 
@@ -17,7 +17,7 @@
     well: bool,
     unread: Tokens,
     /// Its one further run, when it has the same crashes as another request.
-    pub apart: Option<RunApart>,
+    pub apart: Option<IsolatedRun>,
 }
 
 impl OpenRequest {
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -14,9 +14,9 @@
 use bankcove_core::{Name, Tokens};
 use bankcoved::base::config::Config;
 use bankcoved::base::logging;
-use bankcoved::budget::ask::ask_for_tokens;
 use bankcoved::budget::ownership::owners_to_ask;
-use bankcoved::budget::tend;
+use bankcoved::budget::rebalance;
+use bankcoved::budget::token_request::request_tokens;
 use bankcoved::daemon::Daemon;
 use bankcoved::peer_server;
 
@@ -71,10 +71,10 @@
     owner.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
     let peer = owners_to_ask(&asker.budgets, &budget).remove(0);
-    let answer = ask_for_tokens(&asker.budgets, &budget, ASKED, None, &peer).await;
+    let answer = request_tokens(&asker.budgets, &budget, ASKED, None, &peer).await;
     assert_eq!(answer, Some(Ok(())));
     assert!(owner.budgets.holder().free(&budget.name) <= HELD - ASKED);
-    tokio::spawn(tend::tend(Arc::clone(&asker.budgets)));
+    tokio::spawn(rebalance::rebalance(Arc::clone(&asker.budgets)));
     for _ in 0..LOOKS {
         if owner.budgets.holder().free(&budget.name) == HELD {
             return;
@@ -103,7 +103,7 @@
     former.budgets.holder().record_granted(&budget.name, HELD);
     former.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
-    tokio::spawn(tend::tend(Arc::clone(&former.budgets)));
+    tokio::spawn(rebalance::rebalance(Arc::clone(&former.budgets)));
     for _ in 0..LOOKS {
         if owner.budgets.holder().free(&budget.name) > HELD / 2 {
             return;
