--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -1,16 +1,17 @@
-//! Tokens of budgets, as this daemon holds and owns them.
+//! Budget tokens that this daemon holds, and the budget shards that it owns.
 //!
-//! Each file uses those of the lines above it alone:
+//! Each module depends only on modules in the lines above it:
 //!
-//! * `owner_tasks`, `budgets`: the state; `ownership`: who owns a budget in a large fleet
-//! * `terms`: how much is held ahead, and for whom
-//! * `collect`, `borrow`, `hand_over`, `ask`, `statement`: tokens and word of them from peers
-//! * `owner`: the shards that this daemon writes; `ration`, `draws`: what the store has
-//! * `reserve`: sets tokens aside for a request and obtains more
-//! * `allotment`, `tend`: hands tokens on, and gives back what is not needed
+//! * `owner_tasks`, `budgets`: the state; `ownership`: the owners of a budget in a large fleet
+//! * `terms`: how many tokens are prefetched, and for which daemons
+//! * `collect`, `borrow`, `hand_over`, `token_request`, `statement`: token transfers between
+//!   daemons, and reports about tokens
+//! * `owner`: the shards that this daemon writes; `ration`, `draws`: reads of and draws on the store
+//! * `reserve`: reserves tokens for a request and obtains more
+//! * `allotment`, `rebalance`: allots tokens to other daemons, prefetches, and gives back the surplus
 //!
-//! May call the store, `fleet` and peers; called by the sides for callers and by the answers to
-//! peers.
+//! The modules call the store, `fleet` and peers; they are called by the `api` and `entry` layers
+//! and by the peer server.
 
 pub mod allotment;
 pub mod borrow;
--- a/crates/daemon/src/budget/allotment.rs
+++ b/crates/daemon/src/budget/allotment.rs
@@ -1,4 +1,4 @@
-//! Hands tokens on to other daemons of a large fleet, as the owner of a budget.
+//! Allotment of tokens to other daemons of a large fleet by the owner of a budget.
 
 use std::sync::Arc;
 
@@ -10,33 +10,34 @@
 use crate::budget::reserve::{TokenSource, obtain, prefetch};
 use crate::peer::{AllotAnswer, Refusal};
 
-/// Hands tokens on to a daemon that takes this one for the owner.
-pub async fn allot(budgets: &Arc<Budgets>, ask: TokenRequest) -> AllotAnswer {
-    let away = Refusal::out_of_reach(RETRY_SOON_MS);
+/// Answers the token request of a daemon that considers this one the owner of the budget. Draws
+/// from the store when too few tokens are free and the store is not known to be unreachable.
+pub async fn allot(budgets: &Arc<Budgets>, request: TokenRequest) -> AllotAnswer {
+    let out_of_reach = Refusal::out_of_reach(RETRY_SOON_MS);
     let table = budgets.table.load_full();
-    let Some(budget) = table.as_ref().and_then(|table| table.budget(&ask.budget)) else {
-        return AllotAnswer::Refused(away);
+    let Some(budget) = table.as_ref().and_then(|table| table.budget(&request.budget)) else {
+        return AllotAnswer::Refused(out_of_reach);
     };
     if budgets.stopping.is_cancelled() {
-        return AllotAnswer::Refused(away);
+        return AllotAnswer::Refused(out_of_reach);
     }
     let arrived = budgets.fleet.base.clock.now();
-    budgets.holder().record_given_back(&ask, arrived);
-    if let Some(ration) = exceeded_ration(budgets, &ask) {
+    budgets.holder().record_given_back(&request, arrived);
+    if let Some(ration) = exceeded_ration(budgets, &request) {
         return AllotAnswer::Refused(Refusal::rationed(ration));
     }
-    let try_now = || budgets.holder().allot(&ask, arrived);
+    let try_now = || budgets.holder().allot(&request, arrived);
     let allotted = match try_now() {
         Ok(allotted) => Ok(allotted),
         Err(_) if budgets.fleet.contact.is_store_away(arrived) => {
-            // Known to be hopeless here: the asker turns to the next owner at once, and
-            // a peer that reaches the store draws for this one meanwhile.
-            budgets.holder().record_unmet(&ask);
-            Err(away)
+            // A draw would fail: the requester turns to the next owner at once, and a peer
+            // that reaches the store draws for this daemon in the meantime.
+            budgets.holder().record_unmet(&request);
+            Err(out_of_reach)
         }
         Err(_) => {
-            // The next draw serves all that wait by then, not one after the other.
-            budgets.holder().record_unmet(&ask);
+            // The next draw serves all requests waiting by then, instead of one after the other.
+            budgets.holder().record_unmet(&request);
             obtain(budgets, budget, TokenSource::Store, arrived, try_now).await
         }
     };
@@ -47,13 +48,13 @@
     }
 }
 
-/// What the request behind an ask may take of the rest of its budget, if that is less than
-/// it needs. Handed on by arrival, what was left after a loss of all daemons went to the
-/// large requests within seconds, and nobody else was served.
-fn exceeded_ration(budgets: &Budgets, ask: &TokenRequest) -> Option<Tokens> {
-    let demand = ask.demand?;
+/// Returns the most that the caller's request behind `request` may reserve, if that is less than
+/// it needs. When tokens were allotted in order of arrival, those left after a loss of all daemons
+/// went to the large requests within seconds, and no other request was served.
+fn exceeded_ration(budgets: &Budgets, request: &TokenRequest) -> Option<Tokens> {
+    let demand = request.demand?;
     let now = budgets.fleet.base.clock.now();
     let is_away = budgets.fleet.contact.is_store_away(now);
-    let ration = budgets.holder().ration_for(&ask.budget, &demand, is_away, now);
+    let ration = budgets.holder().ration_for(&request.budget, &demand, is_away, now);
     (demand.tokens > ration).then_some(ration)
 }
--- a/crates/daemon/src/budget/borrow.rs
+++ b/crates/daemon/src/budget/borrow.rs
@@ -1,8 +1,8 @@
-//! Tokens that peers lend while no more can be drawn from the store.
+//! Loans of tokens between peers while no more can be drawn from the store.
 //!
-//! Hosts that are cut off from the store mostly still reach each other: measured
-//! on the users' calm days, where all of them lose the store for 7 to 9 s and no
-//! heartbeat fails. What one daemon holds too much another one lacks.
+//! Hosts that are cut off from the store mostly still reach each other: on the users' calm days all
+//! hosts lose the store for 7 to 9 s while no heartbeat fails. The surplus of one daemon can then
+//! serve the requests of another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use crate::budget::terms::draw_terms;
 use crate::peer::PeerServiceClient;
 
-/// Peers asked at once: all others of a small fleet, others each time in a large
-/// one, so that in the end any peer's tokens can be had.
-const LENDERS: usize = 10;
+/// Number of peers asked concurrently: all peers of a small fleet, and a new random sample each
+/// time in a large one, so that the tokens of every peer can be borrowed eventually.
+const MAX_LENDERS: usize = 10;
 
-/// Rounds of asking: first each for its part, then each for all that is missing.
-const ROUNDS: u32 = 2;
+/// Number of rounds: the first asks each peer for a part, the second asks each for all that is
+/// still missing.
+const MAX_ROUNDS: u32 = 2;
 
-/// In the first round peers are together asked for so many times what is missing,
-/// because not each of them can lend its part.
-const ASKED_PER_MISSING: Tokens = 2;
+/// Total requested in the first round, as a multiple of the missing tokens: not every peer can
+/// lend its part.
+const FIRST_ROUND_FACTOR: Tokens = 2;
 
-/// Borrows `missing` tokens; whether all of them came.
+/// Borrows `missing` tokens from peers; returns whether all of them were received.
 pub async fn borrow(budgets: &Arc<Budgets>, budget: &Budget, missing: Tokens) -> bool {
-    // Sealed grants are collected by the owner.
+    // With witnesses, grants are sealed and the owner collects them.
     if budgets.fleet.base.cfg.limits.witnesses > 0 || budgets.fleet.contact.is_alone() {
         return false;
     }
-    let lenders = budgets.fleet.members.lock().sample(LENDERS, rand::random());
+    let lenders = budgets.fleet.members.lock().sample(MAX_LENDERS, rand::random());
     let mut borrowed = 0;
-    for round in 0..ROUNDS {
+    for round in 0..MAX_ROUNDS {
         if lenders.is_empty() || borrowed >= missing {
             break;
         }
-        let wanted = missing - borrowed;
-        let part = (wanted * ASKED_PER_MISSING).div_ceil(lenders.len() as Tokens);
-        let each = if round == 0 { part.min(wanted) } else { wanted };
-        let asked = lenders.iter().map(|peer| borrow_from(budgets, budget, peer, each));
-        borrowed += join_all(asked).await.into_iter().sum::<Tokens>();
+        let still_missing = missing - borrowed;
+        let part = (still_missing * FIRST_ROUND_FACTOR).div_ceil(lenders.len() as Tokens);
+        let tokens_per_peer = if round == 0 { part.min(still_missing) } else { still_missing };
+        let loans = lenders.iter().map(|peer| borrow_from(budgets, budget, peer, tokens_per_peer));
+        borrowed += join_all(loans).await.into_iter().sum::<Tokens>();
     }
     slog::info!(budgets.fleet.base.log, "tokens borrowed";
         "budget" => %budget.name, "missing" => missing, "borrowed" => borrowed,
@@ -51,6 +52,7 @@
     borrowed >= missing
 }
 
+/// Asks one peer for a loan; returns the number of tokens received.
 async fn borrow_from(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -59,10 +61,11 @@
 ) -> Tokens {
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
-    let mut ask = budgets.holder().token_request(&budget.name, peer.incarnation, 0, &terms, now);
-    ask.want = tokens;
+    let mut request =
+        budgets.holder().token_request(&budget.name, peer.incarnation, 0, &terms, now);
+    request.want = tokens;
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
-    let call = |client: PeerServiceClient, cx| async move { client.lend(cx, ask).await };
+    let call = |client: PeerServiceClient, cx| async move { client.lend(cx, request).await };
     match budgets.fleet.base.peers.call(&peer.address, timeout, call).await {
         Some(lent) => budgets.holder().record_loan(&budget.name, lent),
         None => {
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -1,4 +1,4 @@
-//! The state of budgets on one daemon: what it holds and attests, and what it is drawing.
+//! Budget state of one daemon: its token accounts, witness records, owned shards and draws.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 use crate::fleet::Fleet;
 use crate::peer::Refusal;
 
-/// Shortest time between two draws ahead of one budget.
+/// Minimum interval between the starts of two prefetches of a budget, in milliseconds.
 const MIN_PREFETCH_INTERVAL_MS: Millis = 500;
 
-/// Mixed into the shard's number, so that budget shards and log shards do not
-/// share owners.
+/// Added to the shard number to form the rendezvous hashing key, so that budget shards and log
+/// shards have different owners.
 pub const OWNER_KEY: u64 = 0x6275_6467_6574_0000;
 
-/// The outcome of the last draw that brought too little.
+/// The last draw of a budget that yielded too few tokens.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct LastShortDraw {
     pub(super) asked_at: Millis,
@@ -31,39 +31,40 @@
     pub(super) refusal: Option<Refusal>,
 }
 
-/// The last draw ahead of one budget.
+/// The most recent prefetch of a budget.
 #[derive(Debug, Default, Clone, Copy)]
 struct Prefetch {
     started_at: Option<Millis>,
     running: bool,
 }
 
-/// Budgets of one daemon.
+/// Budget state of one daemon.
 pub struct Budgets {
     /// The other daemons.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
-    /// The table in force.
+    /// The current table.
     pub table: Arc<ArcSwapOption<Table>>,
     /// Cancelled when a planned stop begins.
     pub leaving: CancellationToken,
-    /// Cancelled when a planned stop takes no more requests.
+    /// Cancelled when a planned stop begins to reject new requests.
     pub stopping: CancellationToken,
     holder: Mutex<Holder>,
-    /// The shards that this daemon owns.
+    /// Tasks of the shards that this daemon owns.
     pub owner_tasks: OwnerTasks,
+    /// Per budget; the inner lock serializes the attempts to obtain tokens.
     pub(super) last_short_draws: Mutex<HashMap<Name, Arc<tokio::sync::Mutex<LastShortDraw>>>>,
-    /// Draws ahead have a place of their own: they wait for others at the owner,
-    /// and requests that need tokens now must not wait behind them.
+    /// Prefetches are kept apart from `last_short_draws`: they wait at the owner for other draws,
+    /// and requests that need tokens now must not wait for them.
     prefetches: Mutex<HashMap<Name, Prefetch>>,
-    /// Holders that did not answer a collection, and until when they are left out.
+    /// Holders that did not answer a collection, with the time until which they are skipped.
     pub unresponsive: Mutex<HashMap<Incarnation, Millis>>,
     marks: Mutex<WitnessMarks>,
 }
 
 impl Budgets {
-    /// Budgets of a daemon that holds nothing yet.
+    /// Creates the state of a daemon that holds no tokens.
     pub fn new(
         fleet: Fleet,
         store: Store,
@@ -87,13 +88,13 @@
         }
     }
 
-    /// The holder, for settling reservations.
+    /// Locks and returns the token accounts of this daemon.
     pub fn holder(&self) -> parking_lot::MutexGuard<'_, Holder> {
         self.holder.lock()
     }
 
-    /// Whether a draw ahead may begin now: none runs, whose tokens this one would
-    /// bring as well, and the last one is not too recent.
+    /// Marks a prefetch as running and returns true, unless one is already running, which fetches
+    /// the same tokens, or the last one started too recently.
     pub(crate) fn begin_prefetch(&self, budget: &Name, now: Millis) -> bool {
         let mut ahead = self.prefetches.lock();
         let last = ahead.entry(budget.clone()).or_default();
@@ -105,13 +106,14 @@
         true
     }
 
+    /// Marks the running prefetch as finished.
     pub(crate) fn end_prefetch(&self, budget: &Name) {
         if let Some(last) = self.prefetches.lock().get_mut(budget) {
             last.running = false;
         }
     }
 
-    /// What this daemon attests for others.
+    /// Locks and returns the records that this daemon keeps as a witness for other holders.
     pub fn marks(&self) -> parking_lot::MutexGuard<'_, WitnessMarks> {
         self.marks.lock()
     }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -1,4 +1,5 @@
-//! Tokens in other daemons' hands: witnesses, collections, reclaiming.
+//! Sealed grants: opening them with witnesses, collecting free tokens from other daemons, and
+//! reclaiming the grants of holders that are gone.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -16,14 +17,15 @@
 use crate::budget::budgets::{Budgets, OWNER_KEY};
 use crate::peer::{GiveAnswer, PeerServiceClient};
 
-/// A holder that did not answer is left out of collections this long.
-const SILENT_HOLDER_MS: Millis = 2_000;
+/// Time for which a holder that did not answer is skipped in collections, in milliseconds.
+const UNRESPONSIVE_HOLDER_MS: Millis = 2_000;
 
-/// Peers asked in a collection though no grant of theirs is known: those that
-/// come first as owners of the shard.
-const UNLISTED_HOLDERS_ASKED: usize = 32;
+/// Number of peers asked in a collection although no grant to them is known: the first in the
+/// ranking of the shard's owners.
+const MAX_UNLISTED_HOLDERS: usize = 32;
 
-/// Peers that are to attest what this daemon opens while the store is away.
+/// Returns the peers that serve as witnesses of the openings of this daemon while the store is
+/// unreachable.
 pub fn witnesses(budgets: &Budgets) -> Vec<Witness> {
     let key = xxh3_64(budgets.fleet.base.cfg.name.as_str().as_bytes());
     let count = budgets.fleet.base.cfg.limits.witnesses;
@@ -35,19 +37,19 @@
     peers.filter_map(witness).collect()
 }
 
-/// Opens `tokens` more of this daemon's grant, and some ahead, by its witnesses'
-/// word; false when nothing is sealed or they do not agree.
+/// Opens `tokens` more of this daemon's grant, and some ahead, if all its witnesses agree. Returns
+/// false if nothing is sealed or not all of them agree.
 pub async fn open(budgets: &Arc<Budgets>, budget: &Name, tokens: Tokens) -> bool {
     let now = budgets.fleet.base.clock.now();
     let Some(opening) = budgets.holder().next_opening(budget, tokens, now) else {
         return false;
     };
-    let (me, opened) = (budgets.fleet.base.incarnation, opening.opened);
+    let (own_incarnation, opened) = (budgets.fleet.base.incarnation, opening.opened);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     let asks = opening.witnesses.iter().map(|witness| {
         let (budget, incarnation) = (budget.clone(), witness.incarnation);
         let ask = move |client: PeerServiceClient, cx| async move {
-            client.open(cx, me, incarnation, budget, opened).await
+            client.open(cx, own_incarnation, incarnation, budget, opened).await
         };
         budgets.fleet.base.peers.call(&witness.address, timeout, ask)
     });
@@ -55,7 +57,8 @@
     agreed && budgets.holder().confirm_opening(budget, &opening)
 }
 
-/// Sends a peer what is free and what is sealed, as far as it can be opened.
+/// Transfers up to `most` free tokens to `receiver`, after opening as much of the sealed grant as
+/// the witnesses agree to. `received` is the cumulative sum that the receiver has received.
 pub async fn send_free_tokens(
     budgets: &Arc<Budgets>,
     budget: &Name,
@@ -72,20 +75,20 @@
     GiveAnswer::Sent { cumulative, reserved: more_later }
 }
 
-/// Collects what other holders have free of a budget.
+/// Collects the free tokens of a budget from the listed holders and from other likely holders.
 pub async fn gather(budgets: Arc<Budgets>, budget: Name, listed: Vec<HolderRef>) -> Event {
     let holders = add_unlisted_holders(&budgets, &budget, listed);
     if budgets.holder().sealed(&budget) > 0 {
         open(&budgets, &budget, Tokens::MAX).await;
     }
     let now = budgets.fleet.base.clock.now();
-    let silent: HashSet<Incarnation> = {
-        let mut silent = budgets.unresponsive.lock();
-        silent.retain(|_, until| *until > now);
-        silent.keys().copied().collect()
+    let unresponsive: HashSet<Incarnation> = {
+        let mut unresponsive = budgets.unresponsive.lock();
+        unresponsive.retain(|_, until| *until > now);
+        unresponsive.keys().copied().collect()
     };
-    let skipped = holders.iter().any(|holder| silent.contains(&holder.incarnation));
-    let asked = holders.iter().filter(|holder| !silent.contains(&holder.incarnation));
+    let skipped = holders.iter().any(|holder| unresponsive.contains(&holder.incarnation));
+    let asked = holders.iter().filter(|holder| !unresponsive.contains(&holder.incarnation));
     let answers = join_all(asked.map(|holder| gather_from(&budgets, &budget, holder)));
     let answers = answers.await;
     let more_elsewhere = answers.iter().any(|more| *more);
@@ -101,8 +104,8 @@
     Event::Gathered { free, budget, more_expected }
 }
 
-/// Adds those that may hold tokens without a grant: whom this daemon has sent
-/// some, and peers that may have collected as owners before it.
+/// Adds daemons that may hold tokens without a grant: those to which this daemon has sent tokens,
+/// and peers that may have collected tokens as earlier owners.
 fn add_unlisted_holders(
     budgets: &Arc<Budgets>,
     budget: &Name,
@@ -112,7 +115,7 @@
     let key =
         OWNER_KEY + u64::from(shard_of_budget(budget, budgets.fleet.base.cfg.limits.budget_shards));
     let members = budgets.fleet.members.lock();
-    let ranked = members.owners(key, UNLISTED_HOLDERS_ASKED).into_iter().flatten();
+    let ranked = members.owners(key, MAX_UNLISTED_HOLDERS).into_iter().flatten();
     let sent_to = members.usable().filter(|peer| {
         peer.incarnation.is_some_and(|incarnation| receivers.contains(&incarnation))
     });
@@ -128,14 +131,14 @@
     holders.into_values().collect()
 }
 
-/// Collects from one holder; returns whether more may come from it later.
+/// Collects from one holder; returns whether a later collection may yield more from it.
 async fn gather_from(budgets: &Arc<Budgets>, budget: &Name, holder: &HolderRef) -> bool {
-    let (me, incarnation) = (budgets.fleet.base.incarnation, holder.incarnation);
+    let (own_incarnation, incarnation) = (budgets.fleet.base.incarnation, holder.incarnation);
     let received = budgets.holder().received_from(budget, incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     let wanted = budget.clone();
     let ask = |client: PeerServiceClient, cx| async move {
-        client.give(cx, wanted, incarnation, me, received, Tokens::MAX).await
+        client.give(cx, wanted, incarnation, own_incarnation, received, Tokens::MAX).await
     };
     match budgets.fleet.base.peers.call(&holder.address, timeout, ask).await {
         Some(GiveAnswer::Sent { cumulative, reserved }) => {
@@ -151,32 +154,34 @@
             false
         }
         None => {
-            let until = budgets.fleet.base.clock.now() + SILENT_HOLDER_MS;
+            let until = budgets.fleet.base.clock.now() + UNRESPONSIVE_HOLDER_MS;
             budgets.unresponsive.lock().insert(incarnation, until);
             true
         }
     }
 }
 
-/// Takes back what a holder that seems to be gone never opened. Should it live
-/// after all, its closed witness keeps it from opening any more.
+/// Reclaims the tokens that a seemingly terminated holder never opened. If it is still running, its
+/// closed witness rejects any further opening.
 async fn reclaim(budgets: &Arc<Budgets>, budget: &Name, holder: &HolderRef) {
     let limits = &budgets.fleet.base.cfg.limits;
     let timeout = Duration::from_millis(limits.gather_timeout_ms);
     for witness in &holder.witnesses {
-        let (gone, attests, closed) = (holder.incarnation, witness.incarnation, budget.clone());
-        let opened = if attests == budgets.fleet.base.incarnation {
+        let (gone, witness_incarnation, closed_budget) =
+            (holder.incarnation, witness.incarnation, budget.clone());
+        let opened = if witness_incarnation == budgets.fleet.base.incarnation {
             Some(budgets.marks().close(gone, budget))
         } else {
             let ask = |client: PeerServiceClient, cx| async move {
-                client.close(cx, gone, attests, closed).await
+                client.close(cx, gone, witness_incarnation, closed_budget).await
             };
             budgets.fleet.base.peers.call(&witness.address, timeout, ask).await.flatten()
         };
         let Some(opened) = opened else { continue };
         let budget = budget.clone();
-        let request = Request::Reclaim { budget, holder: gone, witness: attests, opened };
-        // Collections are the owner's own work, so that its task runs.
+        let request =
+            Request::Reclaim { budget, holder: gone, witness: witness_incarnation, opened };
+        // Only an owner's task collects, so that task is running here.
         let shard = shard_of_budget(request.budget(), limits.budget_shards);
         let answer = budgets.owner_tasks.ask(shard, request).await.map(|answer| answer.reply);
         slog::info!(budgets.fleet.base.log, "grant reclaimed"; "holder" => %gone, "answer" => ?answer);
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -1,4 +1,4 @@
-//! Draws of this daemon on the store, by way of the owners of budget shards.
+//! Draws on the store through the owners of budget shards.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::budget::terms::draw_terms;
 use crate::peer::{OwnerAnswer, PeerServiceClient, Refusal};
 
-/// Peers that are asked to write for a daemon that does not reach the store.
-const RELAYS: usize = 2;
+/// Number of peers asked to write on behalf of a daemon that cannot reach the store.
+const MAX_RELAYS: usize = 2;
 
-/// Draws `need` more tokens from the store and some ahead.
+/// Draws `need` more tokens from the store, and some ahead.
 pub(crate) async fn draw(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -30,15 +30,15 @@
     let address = budgets.fleet.base.cfg.peer_address();
     let witnesses = witnesses(budgets);
     let draw = {
-        // In one step: what is opened later needs the new witnesses' word too.
+        // Under one lock: any later opening also needs the agreement of the new witnesses.
         let mut holder = budgets.holder();
         holder.propose_witnesses(&budget.name, &witnesses);
         let draw = holder.draw(&budget.name, need, terms, address, now);
         Draw { witnesses: witnesses.clone(), ..draw }
     };
     let request = Request::Draw(draw);
-    // In a large fleet each budget has an owner of its own and the shard another one,
-    // whose writes serve all budgets in it.
+    // In a large fleet the budget has its own owner, and the shard another one, whose writes
+    // serve all budgets of the shard.
     let answer = ask_owner(budgets, request).await;
     log_draw(budgets, budget, need, &answer.reply, now);
     let mut holder = budgets.holder();
@@ -74,8 +74,8 @@
         "tokens_per_s" => rate, "took_ms" => budgets.fleet.base.clock.now().saturating_sub(asked_at));
 }
 
-/// Asks the owner of the budget's shard: the first that answers of the first
-/// few in rendezvous order, else this daemon itself.
+/// Sends a request to the owner of the budget's shard: the first daemon that answers of the first
+/// few in rendezvous order, else this daemon itself. In a small fleet this daemon comes first.
 pub async fn ask_owner(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
     if budgets.fleet.is_small() || budgets.fleet.contact.is_alone() {
         return ask_self_first(budgets, request).await;
@@ -90,7 +90,7 @@
     for owner in owners {
         let Some(owner) = owner else { break };
         if budgets.fleet.contact.is_alone() {
-            // Nobody answers: each further peer would only take its time.
+            // No peer answers: each further one would only add its timeout.
             break;
         }
         let mut request = request.clone();
@@ -112,7 +112,8 @@
     ask_local_owner(budgets, request).await
 }
 
-/// How long an owner's answer is waited for: draws ahead wait there for others.
+/// Returns the timeout of a request to an owner, which delays prefetches to batch them with other
+/// draws.
 fn owner_timeout(budgets: &Budgets, request: &Request) -> Duration {
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     match request {
@@ -121,17 +122,17 @@
     }
 }
 
-/// Writes the shard itself; when the store is out of reach, by way of peers
-/// that may reach it.
+/// Handles the request in this daemon, or through peers that may reach the store if this daemon
+/// cannot.
 async fn ask_self_first(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
     let answer = ask_local_owner(budgets, request.clone()).await;
     if !matches!(answer.reply, Reply::StoreAway { .. }) || budgets.fleet.contact.is_alone() {
         return answer;
     }
     let key = OWNER_KEY + u64::from(shard_of_request(budgets, &request));
-    let peers = budgets.fleet.members.lock().owners(key, RELAYS + 1);
+    let peers = budgets.fleet.members.lock().owners(key, MAX_RELAYS + 1);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
-    for peer in peers.into_iter().flatten().take(RELAYS) {
+    for peer in peers.into_iter().flatten().take(MAX_RELAYS) {
         let request = request.clone();
         let ask =
             |client: PeerServiceClient, cx| async move { client.ask_owner(cx, request).await };
@@ -144,11 +145,12 @@
     answer
 }
 
-/// Gives every unspent token back to the store, for a planned stop. Returns
-/// whether the store has recorded all of it.
+/// Gives all unspent tokens back to the store for a planned stop, or hands them over to a peer if
+/// the store is unreachable. Returns whether the store has recorded all of them.
 pub async fn retire(budgets: &Arc<Budgets>) -> bool {
     if !is_store_reachable(budgets).await {
-        // What a peer has is not debited a second time should the store be back.
+        // Tokens transferred to a peer are already debited and are not given back again if the
+        // store returns.
         hand_over(budgets).await;
         return false;
     }
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -1,8 +1,7 @@
-//! What a daemon holds that stops while the store is away: a peer gets it.
+//! Hand-over of all free tokens to a peer when a daemon stops while the store is unreachable.
 //!
-//! Given back to the store it would reach the others as well, but a store that is
-//! out of reach for longer than the grace time records nothing, and what is held
-//! would be lost with this daemon.
+//! Tokens given back to the store would reach the other daemons too, but a store that is unreachable
+//! for longer than the grace time records nothing, and the tokens would be lost with this daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,26 +13,28 @@
 use crate::budget::budgets::Budgets;
 use crate::peer::PeerServiceClient;
 
-/// Chooses the peer: the same one each time, so that sums may be told again.
-const CHOICE: u64 = 0x6861_6e64_6f76_6572;
+/// Seed of the choice of the receiver. It is constant, so that a repeated hand-over reports its
+/// cumulative sums to the same peer.
+const RECEIVER_SEED: u64 = 0x6861_6e64_6f76_6572;
 
-/// Hands all that is free to a peer, if the store is away and one is there.
+/// Transfers all free tokens to a peer, if the store is unreachable and a peer is known.
 pub async fn hand_over(budgets: &Arc<Budgets>) {
-    // Sealed grants are taken back by the owner.
+    // With witnesses, grants are sealed and the owner reclaims them.
     let is_needed = budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now());
     if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_needed {
         return;
     }
-    let peers = budgets.fleet.members.lock().sample(usize::MAX, CHOICE);
-    let heir = peers.into_iter().find_map(|peer| Some((peer.incarnation?, peer)));
-    let Some((incarnation, peer)) = heir else { return };
+    let peers = budgets.fleet.members.lock().sample(usize::MAX, RECEIVER_SEED);
+    let receiver = peers.into_iter().find_map(|peer| Some((peer.incarnation?, peer)));
+    let Some((incarnation, peer)) = receiver else { return };
     let names: Vec<Name> = budgets.holder().accounts().keys().cloned().collect();
     let sent = names.iter().map(|budget| hand_over_budget(budgets, budget, incarnation, &peer));
-    let taken = join_all(sent).await.into_iter().filter(|taken| *taken).count();
+    let accepted = join_all(sent).await.into_iter().filter(|accepted| *accepted).count();
     slog::info!(budgets.fleet.base.log, "tokens handed over";
-        "peer" => %peer.name, "budgets" => names.len(), "taken" => taken);
+        "peer" => %peer.name, "budgets" => names.len(), "taken" => accepted);
 }
 
+/// Transfers all free tokens of one budget; returns whether the receiver has accepted them.
 async fn hand_over_budget(
     budgets: &Arc<Budgets>,
     budget: &Name,
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -1,4 +1,4 @@
-//! Shell around the owners of budget shards: their tasks and the store.
+//! Tasks that run the owners of budget shards and execute their commands.
 
 use std::sync::{Arc, Weak};
 
@@ -16,25 +16,25 @@
 use crate::budget::terms::draw_terms;
 use crate::peer::OwnerAnswer;
 
-/// The shard that there is in any number of them.
+/// A shard that exists whatever the number of shards is.
 const FIRST_SHARD: u32 = 0;
 
-/// Asks this daemon as the owner.
+/// Sends a request to the owner in this daemon, starting its task if necessary.
 pub async fn ask_local_owner(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
     let shard = shard_of_request(budgets, &request);
-    begin(budgets, shard);
+    ensure_task(budgets, shard);
     let away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
     let away = OwnerAnswer { reply: away, sent: None };
     budgets.owner_tasks.ask(shard, request).await.unwrap_or(away)
 }
 
-/// The shard that a request is about.
+/// Returns the shard of the budget that a request concerns.
 pub fn shard_of_request(budgets: &Budgets, request: &Request) -> u32 {
     shard_of_budget(request.budget(), budgets.fleet.base.cfg.limits.budget_shards)
 }
 
-/// Begins the task of a shard unless it runs.
-fn begin(budgets: &Arc<Budgets>, shard: u32) {
+/// Starts the task of a shard unless it is running.
+fn ensure_task(budgets: &Arc<Budgets>, shard: u32) {
     let mut owners = budgets.owner_tasks.tasks.lock();
     owners.entry(shard).or_insert_with(|| {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -43,15 +43,14 @@
             budgets: Arc::downgrade(budgets),
             tx: tx.downgrade(),
             tickets: Tickets::default(),
-            told: None,
+            reported_version: None,
         };
         let limits = &budgets.fleet.base.cfg.limits;
         let address = budgets.fleet.base.cfg.peer_address();
         let mut machine =
             Owner::new(budgets.fleet.base.incarnation, address, limits.budget_write_ms);
         if limits.witnesses == 0 {
-            // Without sealed grants each holder gives back by itself what it
-            // does not need.
+            // Without sealed grants each holder gives back its surplus by itself.
             machine = machine.without_collecting();
         }
         tokio::spawn(task.run(machine, rx));
@@ -65,8 +64,8 @@
     budgets: Weak<Budgets>,
     tx: mpsc::WeakUnboundedSender<Message>,
     tickets: Tickets<OwnerAnswer>,
-    /// Version of the shard that the holder was told of last.
-    told: Option<u64>,
+    /// Version of the shard that was last reported to the holder.
+    reported_version: Option<u64>,
 }
 
 impl OwnerTask {
@@ -82,7 +81,7 @@
                         request,
                     );
                     if !rx.is_empty() {
-                        // What waits already is served by the same write.
+                        // Requests that are already queued share the same write.
                         continue;
                     }
                     Event::Tick
@@ -90,7 +89,7 @@
                 Message::Dump(reply) => {
                     let dump =
                         OwnerDump { counts: machine.counts(), shard: machine.shard().cloned() };
-                    // Whoever asked may have gone away.
+                    // The requester may have been dropped.
                     let _gone = reply.send(dump);
                     continue;
                 }
@@ -101,16 +100,17 @@
         }
     }
 
-    /// Tells this daemon's holder what any read or write of the shard shows.
+    /// Reports each new version of the shard to this daemon's holder.
     fn update_holder_outlook(&mut self, budgets: &Budgets, machine: &Owner) {
         let Some((version, shard)) = machine.versioned_shard() else { return };
-        if budgets.fleet.base.cfg.limits.witnesses > 0 || self.told == Some(version) {
+        if budgets.fleet.base.cfg.limits.witnesses > 0 || self.reported_version == Some(version) {
             return;
         }
-        self.told = Some(version);
+        self.reported_version = Some(version);
         update_holder_outlook(budgets, shard);
     }
 
+    /// Executes the commands of the owner's state machine.
     fn execute(&mut self, budgets: &Arc<Budgets>, commands: Vec<Command>) {
         let mut wake_at: Option<Millis> = None;
         for command in commands {
@@ -131,7 +131,7 @@
                         holder.record_granted(&draw.budget, granted);
                         holder.record_opened(&draw.budget, opened);
                     }
-                    let answer = give(budgets, &draw, max, reply);
+                    let answer = transfer(budgets, &draw, max, reply);
                     self.tickets.answer(ticket, answer);
                 }
                 Command::WakeAt(at) => {
@@ -146,8 +146,8 @@
     }
 }
 
-/// Tells this daemon's holder what the shard shows of each budget: its own last draw may
-/// be seconds old, in which others have spent.
+/// Updates the outlook of each budget in this daemon's holder from the shard. The holder's own last
+/// draw may be seconds old, and other daemons have spent tokens since.
 fn update_holder_outlook(budgets: &Budgets, shard: &Shard) {
     let now = budgets.fleet.base.clock.now();
     let table = budgets.table.load();
@@ -158,7 +158,8 @@
             continue;
         }
         let mut ledger = ledger.clone();
-        // The next draw writes it; until then nobody is refused what was topped up.
+        // The next draw writes a changed row; until then no request is refused tokens that a
+        // top-up has added.
         ledger.update_row(row.tokens, row.version);
         let terms = draw_terms(budgets, row);
         let outlook = ledger.outlook(budgets.fleet.base.incarnation, &terms);
@@ -166,7 +167,7 @@
     }
 }
 
-/// Reads the shard of a budget, to know how much is left of it.
+/// Reads the shard of a budget to update the outlooks of the budgets in it.
 pub async fn refresh_outlook(budgets: &Arc<Budgets>, budget: &Name) {
     let shard = shard_of_budget(budget, budgets.fleet.base.cfg.limits.budget_shards);
     if let Event::Loaded(_, shard) = load(Arc::clone(budgets), shard).await {
@@ -174,15 +175,18 @@
     }
 }
 
+/// Returns the name of a shard's object in the store.
 fn shard_name(shard: u32) -> String {
     format!("shard-{shard:02}")
 }
 
-/// Whether the store answers now: one read of it, unless it is known to be away.
+/// Returns whether the store answers one read; false without a read while it is known to be
+/// unreachable.
 pub async fn is_store_reachable(budgets: &Arc<Budgets>) -> bool {
     !matches!(load(Arc::clone(budgets), FIRST_SHARD).await, Event::StoreUnavailable)
 }
 
+/// Reads a shard from the store.
 async fn load(budgets: Arc<Budgets>, shard: u32) -> Event {
     if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
@@ -195,12 +199,13 @@
         Ok(None) => Event::Loaded(0, Shard::default()),
         Err(e) => {
             budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
-            slog::warn!(budgets.fleet.base.log, "budget shard not read"; "shard" => shard, "error" => %e);
+            slog::warn!(budgets.fleet.base.log, "failed to read budget shard"; "shard" => shard, "error" => %e);
             Event::StoreUnavailable
         }
     }
 }
 
+/// Writes a shard to the store if it is still at this version.
 async fn write(budgets: Arc<Budgets>, shard: u32, version: u64, value: Shard) -> Event {
     if budgets.fleet.contact.is_store_away(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
@@ -209,7 +214,7 @@
     match outcome {
         WriteOutcome::Written(version) => Event::Written(version),
         WriteOutcome::Conflict(now) => conflict(&budgets, shard, now),
-        // The read that settles it tells whether the store is away.
+        // The read that resolves it shows whether the store is reachable.
         WriteOutcome::Ambiguous => Event::Ambiguous,
         WriteOutcome::NotSent => {
             budgets.fleet.contact.store_failed(budgets.fleet.base.clock.now());
@@ -218,39 +223,42 @@
     }
 }
 
-/// The object that stands in the way spares reading it.
+/// Returns the event of a write conflict; a newer object returned with it saves a read.
 fn conflict(budgets: &Budgets, shard: u32, now: Option<Versioned<serde_json::Value>>) -> Event {
     let Some(read) = now else { return Event::Conflict };
     match serde_json::from_value(read.value) {
         Ok(value) => Event::Superseded(read.version, value),
         Err(e) => {
-            slog::error!(budgets.fleet.base.log, "budget shard not understood"; "shard" => shard, "error" => %e);
+            slog::error!(budgets.fleet.base.log, "failed to parse budget shard"; "shard" => shard, "error" => %e);
             Event::Conflict
         }
     }
 }
 
-fn give(budgets: &Arc<Budgets>, draw: &Draw, most: Tokens, reply: Reply) -> OwnerAnswer {
+/// Transfers up to `max` tokens to the drawing holder and returns the answer to it. Replies that
+/// tokens are short if the holder cannot get what it needs.
+fn transfer(budgets: &Arc<Budgets>, draw: &Draw, max: Tokens, reply: Reply) -> OwnerAnswer {
     let mut holder = budgets.holder();
     let is_own = draw.holder == budgets.fleet.base.incarnation;
-    let is_there = if is_own {
-        // Another owner may have collected them meanwhile: told "granted", this daemon
-        // would ask for them again and again.
+    let is_available = if is_own {
+        // Another owner may have collected the tokens in the meantime: with the reply
+        // `Granted` this daemon would request them over and over.
         holder.free(&draw.budget) >= draw.need
     } else {
         holder.can_transfer(&draw.budget, draw.holder, draw.received, draw.need)
     };
-    if !is_there {
+    if !is_available {
         let retry_after_ms = RETRY_SOON_MS;
         return OwnerAnswer { reply: Reply::Short { retry_after_ms }, sent: None };
     }
     if is_own {
         return OwnerAnswer { reply, sent: None };
     }
-    let cumulative = holder.transfer(&draw.budget, draw.holder, draw.received, most);
+    let cumulative = holder.transfer(&draw.budget, draw.holder, draw.received, max);
     OwnerAnswer { reply, sent: Some((budgets.fleet.base.incarnation, cumulative)) }
 }
 
+/// Wraps the outcome of `work` in a message to the task.
 async fn event(work: impl Future<Output = Event>) -> Message {
     Message::Event(work.await)
 }
--- a/crates/daemon/src/budget/owner_tasks.rs
+++ b/crates/daemon/src/budget/owner_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of the shards that this daemon owns, and asking them.
+//! Handles to the tasks of the budget shards that this daemon owns.
 
 use std::collections::HashMap;
 
@@ -10,20 +10,20 @@
 
 use crate::peer::OwnerAnswer;
 
-/// What a task is told.
+/// A message to an owner task.
 pub(super) enum Message {
-    /// It is asked as the owner.
+    /// A request to the owner, with the channel for the answer.
     Request(Request, oneshot::Sender<OwnerAnswer>),
-    /// Something has happened.
+    /// An event for the owner's state machine.
     Event(Event),
-    /// It is to tell of itself.
+    /// A request for the owner's state.
     Dump(oneshot::Sender<OwnerDump>),
 }
 
-/// What an owner tells of itself.
+/// State of an owner, for the dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct OwnerDump {
-    /// Its figures.
+    /// Counters of the owner.
     pub counts: OwnerCounts,
     /// The shard as last read or written.
     pub shard: Option<Shard>,
@@ -36,7 +36,7 @@
 }
 
 impl OwnerTasks {
-    /// What the owners in this daemon tell of themselves, by shard.
+    /// Returns the states of the owners in this daemon, by shard.
     pub async fn dump(&self) -> HashMap<u32, OwnerDump> {
         let owners: Vec<_> = self.tasks.lock().iter().map(|(n, tx)| (*n, tx.clone())).collect();
         let mut dumps = HashMap::new();
@@ -51,7 +51,8 @@
         dumps
     }
 
-    /// Asks the owner of a shard; none when this daemon has none, or it has ended.
+    /// Sends a request to the owner task of a shard and returns its answer; `None` if this daemon
+    /// has no such task or the task has ended.
     pub(super) async fn ask(&self, shard: u32, request: Request) -> Option<OwnerAnswer> {
         let task = self.tasks.lock().get(&shard).cloned()?;
         let (tx, rx) = oneshot::channel();
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -1,4 +1,4 @@
-//! Looks once a second at what this daemon holds of each budget.
+//! Periodic check, once a second, of the tokens that this daemon holds of each budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,21 @@
 use crate::budget::terms::draw_terms;
 use crate::budget::token_request::request_tokens;
 
-/// Pause between two looks at what is held.
-const TEND: Duration = Duration::from_millis(1_000);
+/// Pause between two checks of the held tokens.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Budgets told one by one each second, of those of which most is held: some 400 bytes.
-const BUDGETS_TOLD: usize = 16;
+/// Maximum number of budgets in the log line of each second, those with the most tokens held: some
+/// 400 bytes.
+const MAX_LOGGED_BUDGETS: usize = 16;
 
-/// Keeps what is held of each budget near what is needed ahead, until the
-/// daemon ends: what is held too much would be lost with this host, and is
-/// missing elsewhere; what is held too little is missing in a cut. A daemon that
-/// stops needs next to nothing: what streams leave over goes back as they end.
+/// Keeps the tokens held of each budget near the prefetch target until the daemon ends. A surplus
+/// is missing elsewhere and would be lost with this host; a shortage is missing during a network
+/// cut. A stopping daemon needs almost no tokens: what its streams leave unspent is given back as
+/// they end.
 pub async fn rebalance(budgets: Arc<Budgets>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(TEND) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = next_phase_of_stop(&budgets) => {}
             () = budgets.fleet.base.ended.cancelled() => return,
         }
@@ -34,7 +35,7 @@
         let Some(table) = budgets.table.load_full() else { continue };
         let draws = table.budgets.iter().any(|budget| owners_to_ask(&budgets, budget).is_empty());
         if budgets.leaving.is_cancelled() && draws && !is_store_reachable(&budgets).await {
-            // Debited before the outage is known, it could not be handed to a peer.
+            // Tokens debited before the outage is known could not be handed over to a peer.
             continue;
         }
         for budget in &table.budgets {
@@ -43,25 +44,24 @@
     }
 }
 
-/// Tells each second where the tokens are: the last of these lines before a loss of
-/// power is all that says what was lost with it.
+/// Logs the token totals of this daemon. The last of these lines before a loss of power is the only
+/// record of the tokens lost with it.
 fn log_holdings(budgets: &Budgets) {
     let now = budgets.fleet.base.clock.now();
-    let (held, most) = {
+    let (held, largest) = {
         let holder = budgets.holder();
-        (holder.holdings(), holder.largest_holdings(BUDGETS_TOLD))
+        (holder.holdings(), holder.largest_holdings(MAX_LOGGED_BUDGETS))
     };
-    let most: Vec<String> = most.iter().map(ToString::to_string).collect();
+    let largest: Vec<String> = largest.iter().map(ToString::to_string).collect();
     slog::info!(budgets.fleet.base.log, "tokens held";
         "free" => held.free, "reserved" => held.reserved, "running" => held.running.count,
         "running_mean_age_ms" => held.running.mean_age(now), "spent" => held.spent,
         "granted" => held.granted, "received" => held.received, "returned" => held.returned,
-        "sent" => held.sent, "most" => most.join(", "),
+        "sent" => held.sent, "most" => largest.join(", "),
         "store_heard_ms" => budgets.fleet.contact.store_age(now));
 }
 
-/// Waits until a planned stop begins, or enters its next phase; in the last one for
-/// ever.
+/// Waits until a planned stop begins or enters its next phase; never returns in the last phase.
 async fn next_phase_of_stop(budgets: &Budgets) {
     if !budgets.leaving.is_cancelled() {
         return budgets.leaving.cancelled().await;
@@ -72,19 +72,20 @@
     std::future::pending().await
 }
 
+/// Gives back the surplus of one budget, or prefetches tokens if there is none.
 fn rebalance_budget(budgets: &Arc<Budgets>, budget: &Budget) {
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let owner = owners_to_ask(budgets, budget).into_iter().next();
     if owner.is_none() && budgets.fleet.contact.is_store_away(now) {
-        // Debited and not told, it would serve nobody until the store is back.
+        // Tokens that are debited but not reported would be unusable until the store returns.
         return;
     }
     let returned = match &owner {
         Some(Peer { incarnation: Some(owner), .. }) => {
             budgets.holder().return_surplus_to_owner(&budget.name, *owner, &terms, now)
         }
-        // Without word of its start the owner would not take in what goes back to it.
+        // An owner does not record tokens given back to an unknown incarnation of it.
         Some(owner) => {
             query_owner_incarnation(budgets, budget, owner);
             0
@@ -99,18 +100,18 @@
     }
     slog::info!(budgets.fleet.base.log, "tokens given back"; "budget" => %budget.name, "tokens" => returned);
     let (budgets, budget) = (Arc::clone(budgets), budget.clone());
-    // Debited already: a draw that is lost is told again by the next one.
+    // The tokens are already debited: if this draw is lost, the next one reports them again.
     tokio::spawn(async move { refill(&budgets, &budget, 0, TokenSource::Owner(None)).await });
 }
 
-/// Asks an owner that was never heard for nothing, if there is something to give back to
-/// it: its answer tells its start. Hosts that were owners while a fleet was starting kept
-/// a tenth of the largest budget all day without it.
+/// Sends a request for 0 tokens to an owner whose incarnation is unknown, if there are tokens to give
+/// back: the answer contains the incarnation. Without it, hosts that were owners while a fleet was
+/// starting kept a tenth of the largest budget all day.
 fn query_owner_incarnation(budgets: &Arc<Budgets>, budget: &Budget, owner: &Peer) {
     if budgets.holder().free(&budget.name) == 0 {
         return;
     }
     let (budgets, budget, owner) = (Arc::clone(budgets), budget.clone(), owner.clone());
-    // The next look gives back, or meets the owner again.
+    // The next check gives the surplus back, or queries the owner again.
     tokio::spawn(async move { request_tokens(&budgets, &budget, 0, None, &owner).await });
 }
--- a/crates/daemon/src/budget/reserve.rs
+++ b/crates/daemon/src/budget/reserve.rs
@@ -1,4 +1,5 @@
-//! Sets tokens aside for requests, and obtains more: opened, drawn, asked for or borrowed.
+//! Reservation of tokens for requests. Missing tokens are opened, drawn, requested from the owner
+//! or borrowed.
 
 use std::sync::Arc;
 
@@ -16,27 +17,27 @@
 use crate::budget::token_request::request_tokens;
 use crate::peer::Refusal;
 
-/// Draws for one request before it is refused: each may bring tokens that
-/// another request takes first.
-const DRAWS: u32 = 8;
+/// Maximum number of draws for one request before it is refused; another request may reserve the
+/// tokens of each draw first.
+const MAX_DRAWS: u32 = 8;
 
-/// How long a refusal answers for others that need as much: asking anew for each
-/// request would keep owners and peers busy just when a budget runs out.
-const REFUSAL_HOLDS_MS: Millis = 100;
+/// Time in milliseconds for which a refusal also answers other requests that need as much. A draw
+/// for each request would keep owners and peers busy just when a budget runs out.
+const REFUSAL_REUSE_MS: Millis = 100;
 
-/// Where more tokens come from.
+/// Source of more tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum TokenSource {
-    /// The budget's owner, in a large fleet; else the store.
+    /// The budget's owner in a large fleet, else the store; with the caller's request, if any.
     Owner(Option<RequestDemand>),
-    /// The store: this daemon was asked as the owner, and asks no further.
+    /// The store: this daemon was asked as the owner and asks no other owner.
     Store,
 }
 
-/// Sets what a request may cost aside, drawing more when too little is at hand.
+/// Reserves the most that a request may cost, and draws more tokens if too few are free.
 ///
 /// # Errors
-/// [`Refusal`] when too little can be had anywhere in reach.
+/// [`Refusal`] if too few tokens can be obtained from any reachable source.
 pub async fn reserve(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -53,7 +54,10 @@
     obtain(budgets, budget, TokenSource::Owner(Some(demand)), arrived, try_now).await
 }
 
-/// Draws until `try_now` has what it takes.
+/// Obtains tokens until `try_now` succeeds.
+///
+/// # Errors
+/// [`Refusal`] if too few can be obtained, or if other requests reserved the obtained ones first.
 pub(crate) async fn obtain<T>(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -63,14 +67,14 @@
 ) -> Result<T, Refusal> {
     let last = Arc::clone(budgets.last_short_draws.lock().entry(budget.name.clone()).or_default());
     let mut last = last.lock().await;
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_DRAWS {
         let Shortfall { missing } = match try_now() {
             Ok(obtained) => return Ok(obtained),
             Err(shortfall) => shortfall,
         };
-        // A draw that began after this request came, or shortly before, has
-        // answered for it too.
-        let is_recent = last.asked_at + REFUSAL_HOLDS_MS > arrived;
+        // The refusal of a draw that began after this request arrived, or shortly before, applies
+        // to this request too.
+        let is_recent = last.asked_at + REFUSAL_REUSE_MS > arrived;
         if let Some(refusal) = last.refusal
             && refusal.ration.is_none()
             && is_recent
@@ -78,24 +82,27 @@
         {
             return Err(refusal);
         }
-        // Witnesses are nearer than the store, and there when it is away.
+        // Witnesses answer sooner than the store, and also while it is unreachable.
         if open(budgets, &budget.name, missing).await {
             continue;
         }
         let asked_at = budgets.fleet.base.clock.now();
         let Err(refusal) = refill(budgets, budget, missing, source).await else { continue };
-        // In a large fleet owners hold what there is, and they have been asked.
+        // In a large fleet the owners hold what is available, and they have been asked.
         if budgets.fleet.is_small() && borrow::borrow(budgets, budget, missing).await {
             continue;
         }
         *last = LastShortDraw { asked_at, need: missing, refusal: Some(refusal) };
         return Err(refusal);
     }
-    // Others were faster each time.
+    // Other requests reserved the tokens of each draw.
     Err(Refusal::short(RETRY_SOON_MS))
 }
 
-/// Brings `need` more tokens and some ahead.
+/// Fetches `need` more tokens, and some ahead.
+///
+/// # Errors
+/// [`Refusal`] of the asked owner or the store, or if no owner answers.
 pub(crate) async fn refill(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -115,22 +122,23 @@
     }
     let is_unknown = budgets.fleet.base.cfg.limits.witnesses == 0 && budgets.fleet.size().is_none();
     if (has_owners || is_unknown) && !budgets.fleet.contact.is_alone() {
-        // Were all that get no answer to write themselves, they would stand in
-        // each other's way, and in the owners'.
+        // If every daemon without an answer wrote to the store itself, their writes would
+        // conflict with each other and with those of the owners.
         return Err(Refusal::out_of_reach(RETRY_SOON_MS));
     }
     draw(budgets, budget, need).await
 }
 
-/// Opens and draws ahead when little is left, away from the path of any request.
+/// Opens or draws tokens ahead in a background task if few are free, so that no request waits for
+/// it.
 pub(crate) fn prefetch(budgets: &Arc<Budgets>, budget: &Budget) {
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
-    let (closes, runs_low) = {
+    let (needs_opening, is_low) = {
         let holder = budgets.holder();
         (holder.needs_opening(&budget.name, now), holder.is_low(&budget.name, &terms, now))
     };
-    if !closes && !runs_low {
+    if !needs_opening && !is_low {
         return;
     }
     if !budgets.begin_prefetch(&budget.name, now) {
@@ -138,9 +146,9 @@
     }
     let (budgets, budget) = (Arc::clone(budgets), budget.clone());
     tokio::spawn(async move {
-        let is_opened = closes && open(&budgets, &budget.name, 0).await;
+        let is_opened = needs_opening && open(&budgets, &budget.name, 0).await;
         if !is_opened {
-            // Nobody waits for it: the next request finds out what came.
+            // No request waits for the result: the next one finds the tokens that were fetched.
             let _refused = refill(&budgets, &budget, 0, TokenSource::Owner(None)).await;
         }
         budgets.end_prefetch(&budget.name);
--- a/crates/daemon/src/budget/statement.rs
+++ b/crates/daemon/src/budget/statement.rs
@@ -1,4 +1,5 @@
-//! Where all tokens of a budget are, by the daemons that answer and the store.
+//! Statement of a budget: where all its tokens are, according to the daemons that answer and the
+//! store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,37 +15,40 @@
 use crate::budget::budgets::Budgets;
 use crate::peer::PeerServiceClient;
 
-/// Looks for one at which nothing was counted twice: tokens that came to a daemon after
-/// another one, which sent them, was asked.
-const LOOKS: usize = 3;
+/// Maximum number of attempts at a statement without double counting. Tokens are counted twice if
+/// they are sent after the sender was asked and received before the receiver is.
+const MAX_ATTEMPTS: usize = 3;
 
-/// What this daemon holds of a budget.
+/// Returns the tokens of a budget at this daemon.
 pub fn holding(budgets: &Budgets, budget: &Name) -> DaemonHolding {
     let holder = budgets.holder();
     holder.holding(&budgets.fleet.base.cfg.name, budgets.fleet.base.incarnation, budget)
 }
 
-/// The budget as the store has it, and where its tokens are.
+/// Returns the budget's ledger in the store and the statement of its tokens.
 ///
 /// # Errors
-/// The store's.
+/// Errors of the store.
 pub async fn statement(
     budgets: &Arc<Budgets>,
     row: &Budget,
 ) -> bankcove_ports::Result<(Ledger, Statement)> {
-    let mut look = look(budgets, row).await?;
-    for _ in 1..LOOKS {
-        if look.1.in_transit >= 0 {
+    let mut attempt = attempt(budgets, row).await?;
+    for _ in 1..MAX_ATTEMPTS {
+        if attempt.1.in_transit >= 0 {
             break;
         }
-        look = self::look(budgets, row).await?;
+        attempt = self::attempt(budgets, row).await?;
     }
-    Ok(look)
+    Ok(attempt)
 }
 
-/// The store is read again after the daemons were asked, so that no token is missed on its way
-/// to one.
-async fn look(budgets: &Arc<Budgets>, row: &Budget) -> bankcove_ports::Result<(Ledger, Statement)> {
+/// Makes one attempt. The store is read again after the daemons were asked, so that tokens in transit
+/// to a daemon are not missed.
+async fn attempt(
+    budgets: &Arc<Budgets>,
+    row: &Budget,
+) -> bankcove_ports::Result<(Ledger, Statement)> {
     let before = read(budgets, row).await?;
     let mut holders = ask_others(budgets, &row.name, &before).await;
     holders.push(holding(budgets, &row.name));
@@ -53,6 +57,7 @@
     Ok((ledger, statement))
 }
 
+/// Reads the ledger of a budget and applies its table row to it.
 async fn read(budgets: &Budgets, row: &Budget) -> bankcove_ports::Result<Ledger> {
     let shards = budgets.fleet.base.cfg.limits.budget_shards;
     let object = format!("shard-{:02}", shard_of_budget(&row.name, shards));
@@ -62,7 +67,7 @@
     Ok(ledger)
 }
 
-/// Asks the peers, and those holders that the ledger names and this daemon has not heard of.
+/// Asks the known peers and the holders in the ledger that are not known as peers.
 async fn ask_others(budgets: &Arc<Budgets>, budget: &Name, ledger: &Ledger) -> Vec<DaemonHolding> {
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.peer_timeout_ms);
     let mut addresses: BTreeSet<String> =
--- a/crates/daemon/src/budget/token_request.rs
+++ b/crates/daemon/src/budget/token_request.rs
@@ -1,4 +1,4 @@
-//! Asks the owner of a budget for tokens.
+//! Requests for tokens from the owner of a budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,9 @@
 use crate::budget::terms::draw_terms;
 use crate::peer::{AllotAnswer, PeerServiceClient, Refusal};
 
-/// Asks one peer for tokens, for the request that `demand` tells of or ahead; none when it
-/// does not answer, or has none and is cut off from the store itself.
+/// Requests tokens from one peer, for the caller's request that `demand` describes or, without
+/// one, as a prefetch. Returns `None` if the peer does not answer, or has too few tokens and
+/// cannot reach the store.
 pub async fn request_tokens(
     budgets: &Arc<Budgets>,
     budget: &Budget,
@@ -26,10 +27,11 @@
     }
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
-    let ask = budgets.holder().token_request(&budget.name, owner.incarnation, need, &terms, now);
-    let ask = TokenRequest { demand, ..ask };
+    let request =
+        budgets.holder().token_request(&budget.name, owner.incarnation, need, &terms, now);
+    let request = TokenRequest { demand, ..request };
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
-    let call = |client: PeerServiceClient, cx| async move { client.allot(cx, ask).await };
+    let call = |client: PeerServiceClient, cx| async move { client.allot(cx, request).await };
     let answer = budgets.fleet.base.peers.call(&owner.address, timeout, call).await;
     slog::info!(budgets.fleet.base.log, "tokens asked for";
         "budget" => %budget.name, "need" => need, "owner" => %owner.name, "answer" => ?answer,
