--- a/crates/daemon/src/bill.rs
+++ b/crates/daemon/src/bill.rs
@@ -1,9 +1,10 @@
-//! Bills, and the log of requests that keeps each from being billed twice.
+//! Bills, and the request log that ensures that no request is billed twice.
 //!
-//! Owns what is still to be written (`billing`, handed over by `bills`) and the shards of the log
-//! (`request_log`, by `log_tasks`).
-//! May call the store, `fleet` and peers; called by bankcove's own interface and by the
-//! answers to peers.
+//! * `billing`: entries that still have to be written, which `bills` submits
+//! * `log_tasks`, `request_log`: the tasks of the log shards, and appending to them
+//!
+//! The modules call the store, `fleet` and peers; they are called by the `api` layer and by the peer
+//! server.
 
 pub mod billing;
 pub mod bills;
--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -1,4 +1,4 @@
-//! Entries of the request log that wait until the store takes them.
+//! Entries of the request log that wait until the store is available.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,22 @@
 use crate::bill::log_tasks::LogTasks;
 use crate::fleet::Fleet;
 
-/// Entries that wait.
+/// Billing state of one daemon: pending entries and the tasks of the request log.
 pub struct Billing {
     /// The other daemons.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
-    /// Shards of the request log.
+    /// Tasks of the request log's shards.
     pub logs: LogTasks,
+    /// Pending entries, oldest first.
     pub(super) pending: Mutex<VecDeque<Entry>>,
+    /// Held while a batch is submitted, so that only one is at a time.
     pub(super) batch_lock: tokio::sync::Mutex<()>,
 }
 
 impl Billing {
-    /// Nothing waits.
+    /// Creates the state without pending entries.
     pub fn new(fleet: Fleet, store: Store) -> Self {
         Billing {
             fleet,
@@ -33,12 +35,12 @@
         }
     }
 
-    /// Keeps an entry until the store takes it.
+    /// Adds an entry that is submitted again and again until the store has it.
     pub fn enqueue(&self, entry: Entry) {
         self.pending.lock().push_back(entry);
     }
 
-    /// How many entries wait.
+    /// Returns the number of pending entries.
     pub fn pending_entries(&self) -> usize {
         self.pending.lock().len()
     }
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -1,4 +1,4 @@
-//! Bills on their way to the request log, and copies of them while the store is away.
+//! Submission of bills to the request log, and copies of them at peers while the store is unreachable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,31 +9,32 @@
 use crate::bill::billing::Billing;
 use crate::bill::request_log;
 
-/// Peers that keep a copy of a bill while the store is away.
-const COPIES: usize = 2;
+/// Number of peers that keep a copy of a bill while the store is unreachable.
+const MAX_COPIES: usize = 2;
 
-/// Pause between two tries to hand over what waits.
-const RETRY: Duration = Duration::from_millis(300);
+/// Pause between two submissions of pending entries.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Entries handed over at once.
-const BATCH: usize = 256;
+/// Maximum number of entries submitted concurrently.
+const BATCH_SIZE: usize = 256;
 
-/// How safe a bill is.
+/// Outcome of billing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Billed {
-    /// The store has it, and it is the one that counts.
+    /// The store has recorded the bill, and it is the one that counts.
     First,
-    /// The store has an earlier one of the same request.
+    /// The store has an earlier bill of the same request.
     Repeat,
-    /// The store is away; this many peers keep a copy.
+    /// The store is unreachable; this daemon submits the bill again, and peers keep copies.
     Kept {
-        /// Peers with a copy.
+        /// Number of peers with a copy.
         copies: usize,
     },
 }
 
-/// Bills a request: returns once the store has the bill, or, while the store
-/// is away, once peers keep copies and this daemon goes on trying.
+/// Bills a request and returns once the store has the bill. If the store is unreachable or does not
+/// answer within `bill_wait_ms`, returns once copies have been sent to peers; this daemon then
+/// continues to submit the bill.
 pub async fn bill(billing: &Arc<Billing>, bill: Bill) -> Billed {
     let entry = Entry::Bill(bill.clone());
     let wait = Duration::from_millis(billing.fleet.base.cfg.limits.bill_wait_ms);
@@ -46,15 +47,16 @@
     billing.enqueue(entry);
     billing.fleet.base.metrics.count("bill.kept");
     let copies = copy_to_peers(billing, &bill).await;
-    slog::warn!(billing.fleet.base.log, "bill waits for the store"; "request" => %bill.request, "copies" => copies);
+    slog::warn!(billing.fleet.base.log, "bill not recorded yet"; "request" => %bill.request, "copies" => copies);
     Billed::Kept { copies }
 }
 
+/// Sends copies of a bill to peers; returns the number of peers that have accepted one.
 async fn copy_to_peers(billing: &Arc<Billing>, bill: &Bill) -> usize {
-    let peers = billing.fleet.members.lock().owners(bill.request.0 as u64, COPIES + 1);
+    let peers = billing.fleet.members.lock().owners(bill.request.0 as u64, MAX_COPIES + 1);
     let timeout = Duration::from_millis(billing.fleet.base.cfg.limits.gather_timeout_ms);
     let mut copies = 0;
-    for peer in peers.into_iter().flatten().take(COPIES) {
+    for peer in peers.into_iter().flatten().take(MAX_COPIES) {
         let bill = bill.clone();
         let keep = |client: crate::peer::PeerServiceClient, cx| async move {
             client.keep_bill(cx, bill).await
@@ -66,32 +68,32 @@
     copies
 }
 
-/// Hands over what waits, until the daemon ends.
+/// Submits pending entries periodically until the daemon ends.
 pub async fn retry_pending(billing: Arc<Billing>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(RETRY) => {}
+            () = tokio::time::sleep(RETRY_INTERVAL) => {}
             () = billing.fleet.base.ended.cancelled() => return,
         }
         submit_pending_batch(&billing).await;
     }
 }
 
-/// Hands over one batch of what waits.
+/// Submits one batch of pending entries; those that the store does not get stay pending.
 pub async fn submit_pending_batch(billing: &Arc<Billing>) {
-    let _one_at_a_time = billing.batch_lock.lock().await;
+    let _batch_guard = billing.batch_lock.lock().await;
     let batch: Vec<Entry> = {
-        let waiting = billing.pending.lock();
-        waiting.iter().take(BATCH).cloned().collect()
+        let pending = billing.pending.lock();
+        pending.iter().take(BATCH_SIZE).cloned().collect()
     };
     let submit = batch.iter().map(|entry| request_log::submit(billing, entry.clone()));
     let outcomes = futures::future::join_all(submit).await;
-    let mut waiting = billing.pending.lock();
-    // Entries join only at the back, so the batch is still at the front.
+    let mut pending = billing.pending.lock();
+    // Entries are added only at the back, so the batch is still at the front.
     for (entry, outcome) in batch.into_iter().zip(outcomes) {
-        waiting.pop_front();
+        pending.pop_front();
         if outcome == Outcome::StoreAway {
-            waiting.push_back(entry);
+            pending.push_back(entry);
         }
     }
 }
--- a/crates/daemon/src/bill/log_tasks.rs
+++ b/crates/daemon/src/bill/log_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of the log shards that this daemon has appended to.
+//! Handles to the tasks of the log shards that this daemon has appended to.
 
 use std::collections::HashMap;
 
@@ -7,37 +7,37 @@
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a task is told.
+/// A message to a log task.
 pub(super) enum Message {
-    /// An entry is to be appended.
+    /// An entry to append, with the channel for its outcome.
     Submitted(Entry, oneshot::Sender<Outcome>),
-    /// Something has happened.
+    /// An event for the log's state machine.
     Event(Event),
-    /// It is to tell of itself.
+    /// A request for the state of the shard.
     Dump(oneshot::Sender<LogDump>),
 }
 
-/// What a log shard tells of itself.
+/// State of a log shard, for the dump.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct LogDump {
-    /// Requests remembered.
+    /// Number of requests in the deduplication window.
     pub remembered: usize,
-    /// Entries that wait.
+    /// Number of pending entries.
     pub waiting: usize,
-    /// Appends tried.
+    /// Number of attempted appends.
     pub appends: u64,
-    /// Segments read.
+    /// Number of segment reads.
     pub reads: u64,
 }
 
-/// The log shards that this daemon has appended to.
+/// Tasks of the log shards that this daemon has appended to.
 #[derive(Debug, Default)]
 pub struct LogTasks {
     pub(super) shards: Mutex<HashMap<u32, mpsc::UnboundedSender<Message>>>,
 }
 
 impl LogTasks {
-    /// What the log shards tell of themselves.
+    /// Returns the states of the log shards, by shard.
     pub async fn dump(&self) -> HashMap<u32, LogDump> {
         let shards: Vec<_> = self.shards.lock().iter().map(|(n, tx)| (*n, tx.clone())).collect();
         let mut dumps = HashMap::new();
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -1,4 +1,4 @@
-//! Shell around the request log: claims and bills on their way to the store.
+//! Tasks that run the shards of the request log, and submission of claims and bills to them.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::bill::billing::Billing;
 use crate::bill::log_tasks::{LogDump, Message};
 
-/// Owners that are tried before this daemon appends itself.
-const OWNERS_TRIED: usize = 1;
+/// Number of owners tried before this daemon appends an entry itself.
+const MAX_OWNERS_TRIED: usize = 1;
 
-/// Mixed into the shard's number, so that budget shards and log shards do not
-/// share owners.
+/// Added to the shard number to form the rendezvous hashing key, so that budget shards and log
+/// shards have different owners.
 const OWNER_KEY: u64 = 0x6c6f_6700_0000_0000;
 
-/// Appends an entry by way of the shard's owner, else by this daemon itself.
-/// Submitting an entry twice does no harm: the log tells what it came to.
+/// Appends an entry through the shard's owner, or in this daemon if the owner does not answer.
+/// Submitting an entry twice is harmless: the log returns its outcome.
 pub async fn submit(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let owners =
-        billing.fleet.members.lock().owners(OWNER_KEY + u64::from(entry.shard()), OWNERS_TRIED);
+        billing.fleet.members.lock().owners(OWNER_KEY + u64::from(entry.shard()), MAX_OWNERS_TRIED);
     let timeout = Duration::from_millis(billing.fleet.base.cfg.limits.peer_timeout_ms);
     for owner in owners {
         let Some(owner) = owner else { break };
@@ -32,7 +32,7 @@
             client.submit(cx, sent).await
         };
         match billing.fleet.base.peers.call(&owner.address, timeout, ask).await {
-            // The owner may be cut off from the store alone.
+            // The owner alone may be unable to reach the store.
             Some(Outcome::StoreAway) => {}
             Some(outcome) => return outcome,
             None => billing.fleet.members.lock().record_failure(&owner.name),
@@ -41,7 +41,7 @@
     submit_locally(billing, entry).await
 }
 
-/// Appends an entry by this daemon itself.
+/// Appends an entry in this daemon.
 pub async fn submit_locally(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let (tx, rx) = oneshot::channel();
     let log = log_task(billing, entry.shard());
@@ -51,6 +51,7 @@
     rx.await.unwrap_or(Outcome::StoreAway)
 }
 
+/// Returns the channel to the task of a shard, starting the task if necessary.
 fn log_task(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Message> {
     let mut shards = billing.logs.shards.lock();
     let log = shards.entry(shard).or_insert_with(|| {
@@ -91,7 +92,7 @@
                         appends: machine.appends(),
                         reads: machine.reads(),
                     };
-                    // Whoever asked may have gone away.
+                    // The requester may have been dropped.
                     let _gone = reply.send(dump);
                     continue;
                 }
@@ -101,6 +102,7 @@
         }
     }
 
+    /// Executes the commands of the log's state machine.
     fn execute(&mut self, billing: &Arc<Billing>, commands: Vec<Command>) {
         let mut wake_at: Option<Millis> = None;
         for command in commands {
@@ -130,25 +132,29 @@
     }
 }
 
+/// Wraps the outcome of `work` in a message to the task.
 async fn event(work: impl Future<Output = Event>) -> Message {
     Message::Event(work.await)
 }
 
+/// Finds the number of the newest segment in the store.
 async fn find_newest(billing: Arc<Billing>, shard: u32) -> Event {
     match billing.store.last_name(Kind::RequestLog(shard)).await {
         Ok(name) => Event::NewestFound(name.and_then(|name| name.parse().ok())),
-        Err(e) => away(&billing, shard, &e),
+        Err(e) => read_failed(&billing, shard, &e),
     }
 }
 
+/// Reads a segment from the store.
 async fn read(billing: Arc<Billing>, shard: u32, number: u64) -> Event {
     let name = segment_name(number);
     match billing.store.read::<Segment>(Kind::RequestLog(shard), &name).await {
         Ok(read) => Event::SegmentRead(number, read.map(|read| read.value)),
-        Err(e) => away(&billing, shard, &e),
+        Err(e) => read_failed(&billing, shard, &e),
     }
 }
 
+/// Creates a segment in the store if it is absent.
 async fn append(billing: Arc<Billing>, shard: u32, number: u64, segment: Segment) -> Event {
     let name = segment_name(number);
     match billing.store.write(Kind::RequestLog(shard), &name, 0, &segment).await {
@@ -159,7 +165,8 @@
     }
 }
 
-fn away(billing: &Billing, shard: u32, e: &bankcove_ports::Error) -> Event {
-    slog::warn!(billing.fleet.base.log, "log shard not read"; "shard" => shard, "error" => %e);
+/// Logs a failed read and returns its event.
+fn read_failed(billing: &Billing, shard: u32, e: &bankcove_ports::Error) -> Event {
+    slog::warn!(billing.fleet.base.log, "failed to read request log shard"; "shard" => shard, "error" => %e);
     Event::StoreUnavailable
 }
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -101,7 +101,7 @@
             |client: PeerServiceClient, cx| async move { client.ask_owner(cx, request).await };
         match budgets.fleet.base.peers.call(&owner.address, timeout, ask).await {
             Some(OwnerAnswer { reply: Reply::StoreAway { .. }, sent: None }) => {
-                // The owner may be cut off from the store alone.
+                // The owner alone may be unable to reach the store.
             }
             Some(answer) => return answer,
             None => {
