--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Shell around what is known of requests that crash their servers (core `crashes`).
+//! Detection and blocking of requests that crash their servers: runs the crash tracker of core.
 //!
-//! `verify` finds out whether a server that broke off has crashed, `spread` tells peers, `keep`
-//! writes blocks where the loss of all daemons does not reach, and `gate` is what a request
-//! meets before each try. The sides for callers say how each try ended.
+//! `verify` checks whether a disconnected server has crashed, `exchange` exchanges crash facts with
+//! peers, `persistence` stores blocks so that they survive the loss of all daemons, and `isolation`
+//! decides before each attempt whether a request has to wait or may run only once more. The `api`
+//! and `entry` layers report how each attempt ended.
 
 pub mod exchange;
 pub mod isolation;
@@ -28,37 +29,37 @@
 use crate::fleet::Fleet;
 use crate::fleet::ask_pause::AskPause;
 
-/// Daemons that write a block which was told to them, and send a request that may run once
-/// more.
+/// Number of daemons responsible for a request: they store a block of it that a peer reported, and
+/// send it if it may run only once more.
 const OWNERS: usize = 1;
 
-/// What this daemon knows of crashes.
+/// Crash state of this daemon.
 pub struct Crashes {
     fleet: Fleet,
     router: Arc<Mutex<Router>>,
     store: Store,
     tracker: Mutex<CrashTracker>,
-    /// Whether anything is known: while nothing is, no request is hashed or looked up.
+    /// Whether the tracker has any state; without any, no request is hashed or looked up.
     is_active: AtomicBool,
-    /// [`CrashTracker::digest`] after the last change: at most 0.6 ms to compute, and read by
-    /// each of twelve heartbeats a second.
+    /// [`CrashTracker::digest`] after the last change. It takes up to 0.6 ms to compute and is read
+    /// by each of twelve heartbeats a second.
     digest: AtomicU64,
-    /// News that peers are to be told next, and when each was taken in.
+    /// Updates to send to peers next, with the time at which each was recorded.
     updates: Mutex<Vec<(Millis, CrashFacts)>>,
-    /// Told when there are some.
+    /// Notified when there are such updates.
     to_send: Notify,
-    /// Told when there are requests to decide on.
+    /// Notified when requests are waiting for a decision.
     to_decide: Notify,
-    /// Requests that run apart.
+    /// Isolated requests that this daemon is running.
     isolated_runs: IsolatedRuns,
-    /// Told when a block is to be kept in the store.
+    /// Notified when blocks have to be written to the store.
     to_persist: Notify,
-    /// When the facts of a peer were last asked for.
+    /// Limits how often the facts of peers are requested.
     asked: AskPause,
 }
 
 impl Crashes {
-    /// Nothing is known. Blocks are kept in `store`.
+    /// Creates an empty crash state whose blocks are kept in `store`.
     pub fn new(fleet: Fleet, router: Arc<Mutex<Router>>, store: Store) -> Self {
         Crashes {
             fleet,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Changes the tracker by `change`.
+    /// Applies `change` to the tracker, then updates the values derived from it.
     fn change<T>(&self, now: Millis, change: impl FnOnce(&mut CrashTracker) -> T) -> T {
         let mut tracker = self.tracker.lock();
         let changed = change(&mut tracker);
@@ -88,23 +89,23 @@
         changed
     }
 
-    /// Reads the tracker by `read`; none while nothing is known.
+    /// Returns the result of `read` on the tracker; `None` while the tracker is empty.
     fn read<T>(&self, read: impl FnOnce(&CrashTracker) -> T) -> Option<T> {
         let is_active = self.is_active.load(Ordering::Relaxed);
         is_active.then(|| read(&self.tracker.lock()))
     }
 
-    /// How much is remembered.
+    /// Returns the sizes of the crash state.
     pub fn stats(&self) -> CrashStats {
         self.tracker.lock().stats()
     }
 
-    /// What follows for a request that is to run now.
+    /// Returns the verdict for a request that is about to run.
     pub fn verdict(&self, request: impl FnOnce() -> Fingerprint) -> Verdict {
         self.read(|tracker| tracker.verdict(request())).unwrap_or(Verdict::Allowed)
     }
 
-    /// Where a suspect is to run; none for a request that may run anywhere.
+    /// Returns where a suspect or isolated request has to run; `None` if it may run anywhere.
     pub fn placement(&self, request: impl FnOnce() -> Fingerprint) -> Option<Placement> {
         let place = self.read(|tracker| {
             let request = request();
@@ -115,24 +116,25 @@
         place.flatten()
     }
 
-    /// The connection over which a server was running this request broke.
+    /// Records that the connection to a server that was running a request broke, and checks whether
+    /// the server has crashed.
     pub fn record_disconnect(self: &Arc<Self>, choice: &Choice, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
-        // One that leaves ends what it still runs: that is no crash.
+        // A server that is leaving ends its running requests: that is not a crash.
         if !self.router.lock().is_current_and_staying(now, &choice.server, choice.started_ms) {
             return;
         }
         let server = ServerStart { name: choice.server.clone(), started_ms: choice.started_ms };
-        let broke = self.change(now, |tracker| tracker.record_disconnect(now, &server, request));
-        let (is_unsure, news) = broke;
-        self.process_updates(&news, Origin::Local);
-        if is_unsure {
+        let outcome = self.change(now, |tracker| tracker.record_disconnect(now, &server, request));
+        let (needs_check, updates) = outcome;
+        self.process_updates(&updates, Origin::Local);
+        if needs_check {
             tokio::spawn(verify::verify(Arc::clone(self), server, choice.address.clone()));
         }
     }
 
-    /// An answer has ended. One that nothing but the end of its connection ends looks whole
-    /// as well when its server has crashed, so that it proves no success.
+    /// Records the end of a response. A response that is delimited only by the end of its connection
+    /// looks complete also if its server crashed, so it is no evidence of a success.
     pub fn record_response_end(
         self: &Arc<Self>,
         choice: &Choice,
@@ -146,20 +148,21 @@
         }
     }
 
-    /// A request has ended well.
+    /// Records that a request succeeded.
     pub fn record_success(self: &Arc<Self>, request: impl FnOnce() -> Fingerprint) {
-        // Nearly all requests are aboard of no crash, and end here.
-        let concerned = self.read(|tracker| {
+        // Nearly all requests ran on no server that crashed, and return here.
+        let tracked = self.read(|tracker| {
             let request = request();
             tracker.tracks(request).then_some(request)
         });
-        let Some(request) = concerned.flatten() else { return };
+        let Some(request) = tracked.flatten() else { return };
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |tracker| tracker.record_success(now, request));
-        self.process_updates(&news, Origin::Local);
+        let updates = self.change(now, |tracker| tracker.record_success(now, request));
+        self.process_updates(&updates, Origin::Local);
     }
 
-    /// Decides on requests when peers have told who else was aboard, until the daemon ends.
+    /// Decides on requests after peers had time to report the other requests of a crash, until the
+    /// daemon ends.
     pub async fn decide(self: Arc<Self>) {
         loop {
             tokio::select! {
@@ -168,90 +171,93 @@
             }
             tokio::time::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
             let now = self.fleet.base.clock.now();
-            let news = self.change(now, |tracker| tracker.decide(now));
-            self.process_updates(&news, Origin::Local);
+            let updates = self.change(now, |tracker| tracker.decide(now));
+            self.process_updates(&updates, Origin::Local);
         }
     }
 
-    /// Requests that run nowhere any more.
+    /// Returns the blocks in force.
     pub fn blocks(&self) -> Vec<Block> {
         let now = self.fleet.base.clock.now();
         self.read(|tracker| tracker.blocks(now)).unwrap_or_default()
     }
 
-    /// Whether the request runs nowhere any more.
+    /// Returns whether the request is blocked.
     pub fn is_blocked(&self, request: Fingerprint) -> bool {
         self.verdict(|| request) == Verdict::Blocked
     }
 
-    /// Lets a blocked request run again, here and at all peers.
+    /// Lifts the block of a request on this daemon and all peers.
     pub fn lift(self: &Arc<Self>, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |tracker| tracker.lift(now, request));
+        let updates = self.change(now, |tracker| tracker.lift(now, request));
         slog::info!(self.fleet.base.log, "block lifted"; "fingerprint" => %request);
         self.to_persist.notify_one();
-        self.process_updates(&news, Origin::Local);
+        self.process_updates(&updates, Origin::Local);
     }
 
-    /// Logs what is new, tells peers, and has blocks kept.
-    fn process_updates(self: &Arc<Self>, news: &CrashFacts, origin: Origin) {
-        if news.is_empty() {
+    /// Logs new facts, queues them for peers, and triggers the writing of blocks.
+    fn process_updates(self: &Arc<Self>, updates: &CrashFacts, origin: Origin) {
+        if updates.is_empty() {
             return;
         }
-        let is_own = origin == Origin::Local;
-        self.log_news(news, is_own);
-        if !news.blocks.is_empty() && (is_own || self.is_responsible_for_any(news)) {
+        let is_local = origin == Origin::Local;
+        self.log_updates(updates, is_local);
+        if !updates.blocks.is_empty() && (is_local || self.is_responsible_for_any(updates)) {
             self.to_persist.notify_one();
         }
-        self.queue_updates(news);
+        self.queue_updates(updates);
     }
 
-    fn log_news(&self, news: &CrashFacts, is_own: bool) {
-        for crash in &news.crashes {
+    /// Logs and counts new facts.
+    fn log_updates(&self, updates: &CrashFacts, is_local: bool) {
+        for crash in &updates.crashes {
             self.fleet.base.metrics.count("server.crashed");
             slog::info!(self.fleet.base.log, "server crashed";
                 "server" => %crash.server.name, "started_ms" => crash.server.started_ms,
-                "age_ms" => crash.age_ms, "aboard" => list(&crash.running), "found_here" => is_own);
+                "age_ms" => crash.age_ms, "aboard" => list(&crash.running), "found_here" => is_local);
         }
-        for cleared in &news.cleared {
+        for cleared in &updates.cleared {
             slog::info!(self.fleet.base.log, "request cleared";
-                "fingerprint" => %cleared.request, "age_ms" => cleared.age_ms, "found_here" => is_own);
+                "fingerprint" => %cleared.request, "age_ms" => cleared.age_ms, "found_here" => is_local);
         }
-        for block in &news.blocks {
+        for block in &updates.blocks {
             self.fleet.base.metrics.count("request.blocked");
             slog::warn!(self.fleet.base.log, "request blocked";
                 "fingerprint" => %block.request, "servers" => list(&block.servers),
-                "age_ms" => block.age_ms, "found_here" => is_own);
+                "age_ms" => block.age_ms, "found_here" => is_local);
         }
     }
 
-    /// Whether this daemon writes these blocks although another one found them: the finder may
-    /// be lost, or cut off from the store, before it has.
-    fn is_responsible_for_any(&self, news: &CrashFacts) -> bool {
-        news.blocks.iter().any(|block| self.owns(block.request))
+    /// Returns whether this daemon stores any of these blocks although a peer decided on them: that
+    /// peer may be lost or cut off from the store before it writes them.
+    fn is_responsible_for_any(&self, updates: &CrashFacts) -> bool {
+        updates.blocks.iter().any(|block| self.owns(block.request))
     }
 
-    /// Whether this daemon is the request's owner among those that it knows.
+    /// Returns whether this daemon is the owner of the request among the daemons that it knows.
     fn owns(&self, request: Fingerprint) -> bool {
         let owners = self.fleet.members.lock().owners(request.key(), OWNERS);
         owners.iter().any(Option::is_none)
     }
 }
 
-/// Whether an answer with these headers tells its own end.
+/// Returns whether a response with these headers is delimited by a length or by chunks, rather than
+/// by the end of its connection.
 pub fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Who found out what is new.
+/// Origin of new facts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// This daemon.
     Local,
-    /// A peer, or the store.
+    /// A peer or the store.
     Peer,
 }
 
+/// Returns the items as a comma-separated list.
 fn list<T: std::fmt::Display>(items: impl IntoIterator<Item = T>) -> String {
     let items: Vec<String> = items.into_iter().map(|item| item.to_string()).collect();
     items.join(", ")
--- a/crates/daemon/src/crashes/exchange.rs
+++ b/crates/daemon/src/crashes/exchange.rs
@@ -1,5 +1,5 @@
-//! Tells peers of crashes: what is new at once, and all of it to one that knows something
-//! else, by the digests in heartbeats (a start, a return from a cut).
+//! Exchange of crash facts with peers: new facts are sent at once, and all facts are fetched from a
+//! peer whose heartbeat has a different digest, as after a start or a network cut.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,79 +11,81 @@
 use crate::crashes::{Crashes, Origin};
 use crate::peer::{FETCH_TIMEOUT, PeerServiceClient};
 
-/// Peers that are told at once. Each passes on what is new to it, so that 300 daemons know of
-/// a crash after some five rounds; heartbeats reach those that were left out.
-const TOLD_AT_ONCE: usize = 6;
+/// Number of peers to which new facts are sent at once. Each forwards what is new to it, so that 300
+/// daemons know of a crash after some five rounds; heartbeats reach those that were missed.
+const SAMPLE_SIZE: usize = 6;
 
-/// How long news are gathered: a crash shows at each of its connections, one after the other, at
-/// many hosts. Told one by one, 20 requests aboard are 10,000 calls in a fleet of 87 (computed).
-const GATHER: Duration = Duration::from_millis(50);
+/// Time for which updates are batched before they are sent: hosts detect a crash on each of its
+/// connections, one after the other. Sent one by one, the updates of a crash with 20 running requests
+/// take 10,000 calls in a fleet of 87 (computed).
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Shortest time between two questions for all that a peer knows, in milliseconds: up to some
-/// 500 kB under a flood of such requests.
-const ASK_PAUSE_MS: Millis = 1_000;
+/// Minimum interval between two requests for all facts of a peer, in milliseconds. An answer takes up
+/// to some 500 kB when many requests crash servers.
+const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 
 impl Crashes {
-    /// Peers are to be told this, with what else is new by then.
-    pub(super) fn queue_updates(&self, news: &CrashFacts) {
-        self.updates.lock().push((self.fleet.base.clock.now(), news.clone()));
+    /// Queues updates that are sent to peers with the next batch.
+    pub(super) fn queue_updates(&self, updates: &CrashFacts) {
+        self.updates.lock().push((self.fleet.base.clock.now(), updates.clone()));
         self.to_send.notify_one();
     }
 
-    /// Tells some peers what is new, until the daemon ends.
+    /// Sends batches of updates to a sample of the peers, until the daemon ends.
     pub async fn send_updates(self: Arc<Self>) {
         loop {
             tokio::select! {
                 () = self.to_send.notified() => {}
                 () = self.fleet.base.ended.cancelled() => return,
             }
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             let gathered = std::mem::take(&mut *self.updates.lock());
             let now = self.fleet.base.clock.now();
-            let mut news = CrashFacts::default();
+            let mut updates = CrashFacts::default();
             for (at, facts) in gathered {
-                // A block that seems younger than it is would outlive the word that lifted it.
-                news.merge(&facts.aged(now.saturating_sub(at)));
+                // With too low an age, a block would outlive the clearance that lifted it.
+                updates.merge(&facts.aged(now.saturating_sub(at)));
             }
-            self.send_to_sample(&news);
+            self.send_to_sample(&updates);
         }
     }
 
-    fn send_to_sample(self: &Arc<Self>, news: &CrashFacts) {
+    /// Sends updates to a random sample of the peers.
+    fn send_to_sample(self: &Arc<Self>, updates: &CrashFacts) {
         let timeout = Duration::from_millis(self.fleet.base.cfg.limits.peer_timeout_ms);
-        let peers = self.fleet.members.lock().sample(TOLD_AT_ONCE, rand::random());
+        let peers = self.fleet.members.lock().sample(SAMPLE_SIZE, rand::random());
         for peer in peers {
-            let (crashes, news) = (Arc::clone(self), news.clone());
+            let (crashes, updates) = (Arc::clone(self), updates.clone());
             tokio::spawn(async move {
-                let told = |client: PeerServiceClient, cx| async move {
-                    client.told_crashes(cx, news).await
+                let send = |client: PeerServiceClient, cx| async move {
+                    client.told_crashes(cx, updates).await
                 };
-                if crashes.fleet.base.peers.call(&peer.address, timeout, told).await.is_none() {
-                    slog::debug!(crashes.fleet.base.log, "crashes not told"; "peer" => %peer.name);
+                if crashes.fleet.base.peers.call(&peer.address, timeout, send).await.is_none() {
+                    slog::debug!(crashes.fleet.base.log, "failed to send crash facts"; "peer" => %peer.name);
                 }
             });
         }
     }
 
-    /// Takes in what a peer has told.
+    /// Merges facts from a peer or from the store.
     pub fn merge_facts(self: &Arc<Self>, facts: CrashFacts) {
         let now = self.fleet.base.clock.now();
-        let news = self.change(now, |tracker| tracker.merge(now, facts));
-        self.process_updates(&news, Origin::Peer);
+        let updates = self.change(now, |tracker| tracker.merge(now, facts));
+        self.process_updates(&updates, Origin::Peer);
     }
 
-    /// All that is known here, for a peer.
+    /// Returns all facts of this daemon, for a peer.
     pub fn facts(&self) -> CrashFacts {
         let now = self.fleet.base.clock.now();
         self.read(|tracker| tracker.facts(now)).unwrap_or_default()
     }
 
-    /// Hash of all that is known here; 0 while nothing is.
+    /// Returns the hash of all facts of this daemon; 0 while there are none.
     pub fn digest(&self) -> u64 {
         self.digest.load(Ordering::Relaxed)
     }
 
-    /// Forgets what is too long ago.
+    /// Drops expired crashes, blocks and clearances.
     pub fn forget_old(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
@@ -91,12 +93,12 @@
         }
     }
 
-    /// A peer's heartbeat had this digest: asks it for what it knows if that is something else.
-    pub fn compare_digest(self: &Arc<Self>, address: &str, told: u64) {
-        if told == 0 || told == self.digest() {
+    /// Compares the digest in a peer's heartbeat, and fetches the peer's facts if it differs.
+    pub fn compare_digest(self: &Arc<Self>, address: &str, peer_digest: u64) {
+        if peer_digest == 0 || peer_digest == self.digest() {
             return;
         }
-        if !self.asked.may_ask(self.fleet.base.clock.now(), ASK_PAUSE_MS) {
+        if !self.asked.may_ask(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
             return;
         }
         let (crashes, address) = (Arc::clone(self), address.to_owned());
@@ -105,7 +107,7 @@
             match crashes.fleet.base.peers.call(&address, FETCH_TIMEOUT, ask).await {
                 Some(facts) => crashes.merge_facts(facts),
                 None => {
-                    slog::debug!(crashes.fleet.base.log, "crashes not asked for"; "peer" => &address)
+                    slog::debug!(crashes.fleet.base.log, "failed to fetch crash facts"; "peer" => &address)
                 }
             }
         });
--- a/crates/daemon/src/crashes/isolation.rs
+++ b/crates/daemon/src/crashes/isolation.rs
@@ -1,5 +1,5 @@
-//! What a request meets on its way to a server: it waits while it is found out whether it has
-//! crashed servers, and one with the same crashes as another runs once more, sent by one host.
+//! Restrictions on a request before each attempt: it waits until its verdict is known, and a request
+//! with the same crashes as another one runs once more in isolation, sent by a single host.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 
 use crate::crashes::Crashes;
 
-/// Pause between two looks whether it is known by now.
-const LOOK: Duration = Duration::from_millis(20);
+/// Pause between two checks for a verdict.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait, in milliseconds: a crash is found out within some 130 ms as a rule, and decided on
-/// after [`DECISION_DELAY_MS`]. Who is refused instead comes back after a second.
-const MOST_WAIT_MS: Millis = 2 * DECISION_DELAY_MS;
+/// Maximum wait for a verdict, in milliseconds. A crash is usually verified within some 130 ms and
+/// decided on after [`DECISION_DELAY_MS`]. A caller that is refused instead retries after a second.
+const MAX_WAIT_MS: Millis = 2 * DECISION_DELAY_MS;
 
-/// Requests that run apart here.
+/// Isolated requests that this daemon is running.
 #[derive(Debug, Default)]
 pub struct IsolatedRuns {
     running: Mutex<HashSet<Fingerprint>>,
 }
 
-/// The one run of a request that may run once more; dropping it ends the run.
+/// The single run of an isolated request; dropping it ends the run.
 pub struct IsolatedRun {
     crashes: Arc<Crashes>,
     request: Fingerprint,
@@ -37,24 +37,25 @@
 }
 
 impl Crashes {
-    /// What follows for the request, once it is known or `deadline` has come.
+    /// Returns the verdict for the request as soon as it is known; [`Verdict::Undecided`] if it is
+    /// still unknown at `deadline` or after [`MAX_WAIT_MS`].
     pub async fn await_verdict(
         &self,
         deadline: Millis,
         request: impl Fn() -> Fingerprint,
     ) -> Verdict {
-        let until = deadline.min(self.fleet.base.clock.now() + MOST_WAIT_MS);
+        let until = deadline.min(self.fleet.base.clock.now() + MAX_WAIT_MS);
         loop {
             let verdict = self.verdict(&request);
             if verdict != Verdict::Undecided || self.fleet.base.clock.now() >= until {
                 return verdict;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Begins the one run of a request that may run once more; none at another host than its owner,
-    /// and while a copy runs.
+    /// Begins the single run of an isolated request. Returns `None` if this daemon is not the owner of
+    /// the request, or is already running it.
     pub fn begin_isolated_run(self: &Arc<Self>, request: Fingerprint) -> Option<IsolatedRun> {
         if !self.owns(request) {
             return None;
--- a/crates/daemon/src/crashes/persistence.rs
+++ b/crates/daemon/src/crashes/persistence.rs
@@ -1,5 +1,5 @@
-//! Blocks in the platform's store: the loss of all daemons at once must not let a blocked
-//! request crash three servers more.
+//! Persistence of blocks in the platform's store, so that a blocked request does not crash three more
+//! servers after the loss of all daemons at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,41 +12,41 @@
 
 use crate::crashes::Crashes;
 
-/// Name of the only object.
-const OBJECT: &str = "all";
+/// Name of the object that contains all blocks.
+const OBJECT_NAME: &str = "all";
 
-/// Pause before blocks are written: hosts that found the same one at once write it once, and
-/// word of a success that is under way still comes in time.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Delay before blocks are written, so that hosts that decide on the same block simultaneously write
+/// it once, and that reports of a success still in transit arrive in time.
+const WRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// Pause after the store did not take or tell the blocks.
-const RETRY: Duration = Duration::from_secs(1);
+/// Pause after a failed read or write of the blocks.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether the store answers this daemon or a peer.
-const AWAY_POLL: Duration = Duration::from_millis(100);
+/// Pause between two checks whether the store answers this daemon or a peer.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The store answers when it did so within this, in milliseconds.
-const HEARD_MS: Millis = 2_000;
+/// The store counts as reachable for this time after its last answer, in milliseconds.
+const MAX_STORE_AGE_MS: Millis = 2_000;
 
-/// Tries to read what earlier starts have kept, by which time peers have told it.
-const READS: u32 = 10;
+/// Number of attempts to read the blocks of earlier starts; by then peers have reported them.
+const MAX_READS: u32 = 10;
 
-/// Blocks as the store keeps them.
+/// Stored form of all blocks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredBlocks {
     blocks: BTreeMap<Fingerprint, StoredBlock>,
 }
 
-/// One block as the store keeps it.
+/// Stored form of one block.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredBlock {
     /// When the request was blocked, in milliseconds since 1970.
     blocked_ms: Millis,
-    /// Servers that crashed under it.
+    /// Servers that crashed while running the request.
     servers: Vec<Name>,
 }
 
-/// Reads what earlier starts have kept, then writes each new block, until the daemon ends.
+/// Reads the blocks of earlier starts, then writes each new block, until the daemon ends.
 pub async fn persist_blocks(crashes: Arc<Crashes>) {
     tokio::select! {
         () = read_then_write(&crashes) => {}
@@ -55,79 +55,83 @@
 }
 
 async fn read_then_write(crashes: &Arc<Crashes>) {
-    for _ in 0..READS {
+    for _ in 0..MAX_READS {
         wait_for_store(crashes).await;
         match read(crashes).await {
-            Ok((_, kept)) => {
-                merge_kept(crashes, kept);
+            Ok((_, stored)) => {
+                merge_stored(crashes, stored);
                 break;
             }
             Err(e) => {
-                slog::info!(crashes.fleet.base.log, "kept blocks not read yet"; "error" => %e)
+                slog::info!(crashes.fleet.base.log, "failed to read stored blocks"; "error" => %e)
             }
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     loop {
         crashes.to_persist.notified().await;
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(WRITE_DELAY).await;
         while !write(crashes).await {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
             wait_for_store(crashes).await;
         }
     }
 }
 
+/// Waits until the store has answered this daemon or a peer recently.
 async fn wait_for_store(crashes: &Crashes) {
-    let is_heard = || {
+    let is_reachable = || {
         let age = crashes.fleet.contact.store_age(crashes.fleet.base.clock.now());
-        age.is_some_and(|age| age < HEARD_MS)
+        age.is_some_and(|age| age < MAX_STORE_AGE_MS)
     };
-    while !is_heard() {
-        tokio::time::sleep(AWAY_POLL).await;
+    while !is_reachable() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Returns the stored blocks and their version; version 0 if there are none.
 async fn read(crashes: &Crashes) -> bankcove_ports::Result<(u64, StoredBlocks)> {
-    let read = crashes.store.read::<StoredBlocks>(Kind::Blocked, OBJECT).await?;
+    let read = crashes.store.read::<StoredBlocks>(Kind::Blocked, OBJECT_NAME).await?;
     Ok(read.map_or((0, StoredBlocks::default()), |read| (read.version, read.value)))
 }
 
-fn merge_kept(crashes: &Arc<Crashes>, kept: StoredBlocks) {
+/// Merges stored blocks into the crash state.
+fn merge_stored(crashes: &Arc<Crashes>, stored: StoredBlocks) {
     let now_ms = crashes.fleet.base.clock.unix_ms();
-    let block = |(request, kept): (Fingerprint, StoredBlock)| Block {
+    let block = |(request, stored): (Fingerprint, StoredBlock)| Block {
         request,
-        age_ms: now_ms.saturating_sub(kept.blocked_ms),
-        servers: kept.servers,
+        age_ms: now_ms.saturating_sub(stored.blocked_ms),
+        servers: stored.servers,
     };
-    let blocks: Vec<Block> = kept.blocks.into_iter().map(block).collect();
+    let blocks: Vec<Block> = stored.blocks.into_iter().map(block).collect();
     crashes.merge_facts(CrashFacts { blocks, ..CrashFacts::default() });
 }
 
-/// Writes the blocks that are known here to those that are kept; whether the store has them.
+/// Adds the blocks in force on this daemon to the stored ones; returns whether the store has them.
 async fn write(crashes: &Crashes) -> bool {
-    let (version, kept) = match read(crashes).await {
+    let (version, stored) = match read(crashes).await {
         Ok(read) => read,
         Err(e) => {
-            slog::info!(crashes.fleet.base.log, "blocks not kept yet"; "error" => %e);
+            slog::info!(crashes.fleet.base.log, "failed to read stored blocks before writing"; "error" => %e);
             return false;
         }
     };
-    let next = merged(crashes, kept.clone());
-    if next == kept {
+    let next = merged(crashes, stored.clone());
+    if next == stored {
         return true;
     }
-    let outcome = crashes.store.write(Kind::Blocked, OBJECT, version, &next).await;
+    let outcome = crashes.store.write(Kind::Blocked, OBJECT_NAME, version, &next).await;
     let is_written = matches!(outcome, WriteOutcome::Written(_));
-    slog::info!(crashes.fleet.base.log, "blocks kept"; "written" => is_written, "count" => next.blocks.len());
+    slog::info!(crashes.fleet.base.log, "block write finished"; "written" => is_written, "count" => next.blocks.len());
     is_written
 }
 
-/// What is kept, without what is over or lifted, and what is known here.
-fn merged(crashes: &Crashes, mut kept: StoredBlocks) -> StoredBlocks {
+/// Returns the stored blocks without expired and lifted ones, together with the blocks in force on
+/// this daemon.
+fn merged(crashes: &Crashes, mut stored: StoredBlocks) -> StoredBlocks {
     let (now, now_ms) = (crashes.fleet.base.clock.now(), crashes.fleet.base.clock.unix_ms());
     let tracker = crashes.tracker.lock();
-    kept.blocks.retain(|request, block| {
+    stored.blocks.retain(|request, block| {
         let age_ms = now_ms.saturating_sub(block.blocked_ms);
         age_ms < BLOCK_DURATION_MS
             && !tracker.is_cleared_since(*request, now.saturating_sub(age_ms))
@@ -135,7 +139,7 @@
     for block in tracker.blocks(now) {
         let blocked_ms = now_ms.saturating_sub(block.age_ms);
         let servers = block.servers;
-        kept.blocks.entry(block.request).or_insert(StoredBlock { blocked_ms, servers });
+        stored.blocks.entry(block.request).or_insert(StoredBlock { blocked_ms, servers });
     }
-    kept
+    stored
 }
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -1,5 +1,5 @@
-//! Finds out whether a server that broke off has crashed: the evidence against a request must
-//! not be a reset connection, a cut, or a host in trouble of its own.
+//! Verification of crashes: a reset connection, a network cut or a failing host must not count as
+//! evidence against a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,50 +10,50 @@
 use crate::base::tcp::{Reach, reach_and_hold};
 use crate::crashes::{Crashes, Origin};
 
-/// Longest wait for a connection: a host in reach accepts or refuses within 2 ms.
+/// Timeout of a connection attempt; a reachable host accepts or refuses within 2 ms.
 const REACH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a connection to a server that lives stays open at the least: a port that is open
-/// longer than its process by more than this was not seen.
-const HOLD: Duration = Duration::from_millis(100);
+/// Minimum time for which a connection to a running server stays open. No port was seen to stay open
+/// after the end of its process for longer than this.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 
-/// Pause between two tries to reach a server that is silent.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two attempts to reach an unresponsive server.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a server that neither accepts nor refuses is in doubt, in milliseconds: the entry
-/// of one that is lost with its host goes after three heartbeats, some 3 to 4 s.
-const DOUBT_MS: Millis = 5_000;
+/// Time for which a server that neither accepts nor refuses connections is checked, in milliseconds.
+/// The list entry of a server lost with its host is removed after three heartbeats, some 3 to 4 s.
+const MAX_CHECK_MS: Millis = 5_000;
 
-/// Finds it out, and takes in the answer.
+/// Checks whether a disconnected server has crashed and records the result.
 pub(super) async fn verify(crashes: Arc<Crashes>, server: ServerStart, address: String) {
     let has_crashed = has_crashed(&crashes, &server, &address).await;
     let now = crashes.fleet.base.clock.now();
     if has_crashed {
-        let news = crashes.change(now, |tracker| tracker.record_crash(now, &server));
-        crashes.process_updates(&news, Origin::Local);
+        let updates = crashes.change(now, |tracker| tracker.record_crash(now, &server));
+        crashes.process_updates(&updates, Origin::Local);
     } else {
-        slog::info!(crashes.fleet.base.log, "server broke off and has not crashed"; "server" => %server.name);
+        slog::info!(crashes.fleet.base.log, "connection to server broke but the server has not crashed"; "server" => %server.name);
         crashes.change(now, |tracker| tracker.record_alive(&server));
     }
 }
 
+/// Returns whether a server has crashed: it refuses connections, or its entry is gone from the server
+/// list. A server that is still in doubt after `MAX_CHECK_MS` counts as running.
 async fn has_crashed(crashes: &Crashes, server: &ServerStart, address: &str) -> bool {
-    let doubted_until = crashes.fleet.base.clock.now() + DOUBT_MS;
+    let deadline = crashes.fleet.base.clock.now() + MAX_CHECK_MS;
     loop {
-        match reach_and_hold(address, REACH_TIMEOUT, HOLD).await {
+        match reach_and_hold(address, REACH_TIMEOUT, MIN_OPEN_TIME).await {
             Reach::Refused => return true,
             Reach::Accepted => return false,
             Reach::Silent => {}
         }
-        // Gone from the list, or another start has its name.
+        // The server is gone from the list, or another start of it is listed.
         if !crashes.router.lock().is_current_start(&server.name, server.started_ms) {
             return true;
         }
-        if crashes.fleet.base.clock.now() >= doubted_until
-            || crashes.fleet.base.ended.is_cancelled()
-        {
+        if crashes.fleet.base.clock.now() >= deadline || crashes.fleet.base.ended.is_cancelled() {
             return false;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
