--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -1,10 +1,9 @@
-//! Tokens that go from owners of budgets to daemons of a large fleet, and back.
+//! Return of surplus tokens to the owner of a budget in a large fleet.
 //!
-//! Symptom: tokens stayed for seconds with daemons that had no use for them, while
-//! others were refused. Sequence: a daemon of a large fleet asked the owner, which it had
-//! never heard in a heartbeat; what it did not need was to go back. Cause: without the
-//! owner's start it counted as returned to the store, which had granted it nothing, so
-//! nothing went back: 61,436 tokens of one budget for 8 s with one daemon, unchanged.
+//! Guards against surplus tokens that stay with a daemon while others are refused: 61,436 tokens of
+//! one budget stayed with one daemon for 8 s. The daemon had requested tokens from an owner whose
+//! heartbeat it had never received. Without the owner's incarnation it returned the surplus to the
+//! store, which had granted it nothing, so nothing was given back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,30 +19,31 @@
 use bankcoved::daemon::Daemon;
 use bankcoved::peer_server;
 
-/// What the owner holds at first.
+/// Tokens that the owner holds at first.
 const HELD: Tokens = 10_000;
 
-/// What the other daemon asks for.
-const ASKED: Tokens = 1_000;
+/// Tokens that the other daemon requests.
+const REQUESTED: Tokens = 1_000;
 
-/// Looks at what the owner holds, and the pause between two: some 20 s, where what is
-/// not needed goes back 4 s after the start.
-const LOOKS: u32 = 400;
+/// Number of checks of the owner's tokens and the pause between two: some 20 s in all. The surplus is
+/// given back 4 s after the start.
+const CHECKS: u32 = 400;
 const PAUSE: Duration = Duration::from_millis(50);
 
 fn daemon(name: &str, port: u16) -> Arc<Daemon> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut cfg = Config::example();
     cfg.name = Name::from(name);
-    // An address that no other process of the tests uses.
+    // An address that no other test process uses.
     cfg.peer_listen = format!("127.{}.{low}.9:{port}", 1 + high % 250);
     cfg.peer_advertise = None;
     cfg.limits.witnesses = 0;
     cfg.limits.direct_daemons = 0;
-    Daemon::new(cfg, logging::silent()).expect("it can be set up")
+    Daemon::new(cfg, logging::silent()).expect("the daemon can be set up")
 }
 
-fn lists(daemon: &Daemon, other: &Daemon) {
+/// Lists `other` in the host list of `daemon`.
+fn add_to_host_list(daemon: &Daemon, other: &Daemon) {
     let host = Host {
         name: other.cfg.name.clone(),
         hall: other.cfg.hall.clone(),
@@ -55,45 +55,45 @@
 }
 
 #[tokio::test]
-async fn what_is_not_needed_goes_back_to_an_owner_never_heard_in_a_heartbeat() {
+async fn surplus_is_returned_to_an_owner_without_heartbeats() {
     let budget = Budget::for_workspace(Name::from("main"), 1_000_000, 1);
     let (one, two) = (daemon("entry-0", 20_001), daemon("entry-1", 20_002));
-    lists(&one, &two);
-    lists(&two, &one);
-    let (asker, owner) =
+    add_to_host_list(&one, &two);
+    add_to_host_list(&two, &one);
+    let (requester, owner) =
         if owners_to_ask(&one.budgets, &budget).is_empty() { (two, one) } else { (one, two) };
-    for daemon in [&asker, &owner] {
+    for daemon in [&requester, &owner] {
         let table = Table { revision: 1, budgets: vec![budget.clone()], ..Table::default() };
-        // Not adopted: that would send a heartbeat.
+        // Set directly: adopting the table would send a heartbeat.
         daemon.table.store(Some(Arc::new(table)));
     }
     owner.budgets.holder().record_granted(&budget.name, HELD);
     owner.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
-    let peer = owners_to_ask(&asker.budgets, &budget).remove(0);
-    let answer = request_tokens(&asker.budgets, &budget, ASKED, None, &peer).await;
+    let peer = owners_to_ask(&requester.budgets, &budget).remove(0);
+    let answer = request_tokens(&requester.budgets, &budget, REQUESTED, None, &peer).await;
     assert_eq!(answer, Some(Ok(())));
-    assert!(owner.budgets.holder().free(&budget.name) <= HELD - ASKED);
-    tokio::spawn(rebalance::rebalance(Arc::clone(&asker.budgets)));
-    for _ in 0..LOOKS {
+    assert!(owner.budgets.holder().free(&budget.name) <= HELD - REQUESTED);
+    tokio::spawn(rebalance::rebalance(Arc::clone(&requester.budgets)));
+    for _ in 0..CHECKS {
         if owner.budgets.holder().free(&budget.name) == HELD {
             return;
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("{} tokens stay with the asker", asker.budgets.holder().free(&budget.name));
+    panic!("{} tokens stay with the requester", requester.budgets.holder().free(&budget.name));
 }
 
-/// Symptom: 3,252,788 tokens of the largest budget, an eighth of it, lay with one host of
-/// 295 all day. Sequence: while the fleet started, hosts that saw a part of it took
-/// themselves for owners and drew; then others were the owners. Cause: a daemon gives
-/// back to an owner whose start it knows, and it never had to ask this one.
+/// Guards against tokens that stay with a former owner: 3,252,788 tokens of the largest budget, an
+/// eighth of it, stayed with one host of 295 all day. While the fleet started, hosts that knew only a
+/// part of it considered themselves owners and drew; then other hosts became the owners. A daemon
+/// gives back only to an owner whose incarnation it knows, and it had never asked the new one.
 #[tokio::test]
-async fn what_a_former_owner_holds_goes_back_to_one_that_it_never_asked() {
+async fn tokens_of_a_former_owner_are_returned_to_an_owner_it_never_asked() {
     let budget = Budget::for_workspace(Name::from("main"), 1_000_000, 1);
     let (one, two) = (daemon("entry-2", 20_003), daemon("entry-3", 20_004));
-    lists(&one, &two);
-    lists(&two, &one);
+    add_to_host_list(&one, &two);
+    add_to_host_list(&two, &one);
     let (former, owner) =
         if owners_to_ask(&one.budgets, &budget).is_empty() { (two, one) } else { (one, two) };
     for daemon in [&former, &owner] {
@@ -104,7 +104,7 @@
     former.budgets.holder().record_opened(&budget.name, HELD);
     peer_server::serve(Arc::clone(&owner)).await.expect("the port is free");
     tokio::spawn(rebalance::rebalance(Arc::clone(&former.budgets)));
-    for _ in 0..LOOKS {
+    for _ in 0..CHECKS {
         if owner.budgets.holder().free(&budget.name) > HELD / 2 {
             return;
         }
