--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -1,4 +1,5 @@
-//! Submission of bills to the request log, and copies of them at peers while the store is unreachable.
+//! Submission of bills to the request log, and copies of them at peers while the store is
+//! unreachable.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -28,10 +28,10 @@
     for owner in owners {
         let Some(owner) = owner else { break };
         let sent = entry.clone();
-        let ask = |client: crate::peer::PeerServiceClient, cx| async move {
+        let call = |client: crate::peer::PeerServiceClient, cx| async move {
             client.submit(cx, sent).await
         };
-        match billing.fleet.base.peers.call(&owner.address, timeout, ask).await {
+        match billing.fleet.base.peers.call(&owner.address, timeout, call).await {
             // The owner alone may be unable to reach the store.
             Some(Outcome::StoreAway) => {}
             Some(outcome) => return outcome,
--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -6,9 +6,11 @@
 //! * `terms`: how many tokens are prefetched, and for which daemons
 //! * `collect`, `borrow`, `hand_over`, `token_request`, `statement`: token transfers between
 //!   daemons, and reports about tokens
-//! * `owner`: the shards that this daemon writes; `ration`, `draws`: reads of and draws on the store
+//! * `owner`: the shards that this daemon writes; `ration`, `draws`: reads of the store and draws
+//!   on it
 //! * `reserve`: reserves tokens for a request and obtains more
-//! * `allotment`, `rebalance`: allots tokens to other daemons, prefetches, and gives back the surplus
+//! * `allotment`, `rebalance`: allots tokens to other daemons, prefetches, and gives back surplus
+//!   tokens
 //!
 //! The modules call the store, `fleet` and peers; they are called by the `api` and `entry` layers
 //! and by the peer server.
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -96,8 +96,8 @@
     /// Marks a prefetch as running and returns true, unless one is already running, which fetches
     /// the same tokens, or the last one started too recently.
     pub(crate) fn begin_prefetch(&self, budget: &Name, now: Millis) -> bool {
-        let mut ahead = self.prefetches.lock();
-        let last = ahead.entry(budget.clone()).or_default();
+        let mut prefetches = self.prefetches.lock();
+        let last = prefetches.entry(budget.clone()).or_default();
         let is_recent = last.started_at.is_some_and(|at| now < at + MIN_PREFETCH_INTERVAL_MS);
         if last.running || is_recent {
             return false;
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -46,14 +46,14 @@
     };
     let (own_incarnation, opened) = (budgets.fleet.base.incarnation, opening.opened);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
-    let asks = opening.witnesses.iter().map(|witness| {
+    let calls = opening.witnesses.iter().map(|witness| {
         let (budget, incarnation) = (budget.clone(), witness.incarnation);
-        let ask = move |client: PeerServiceClient, cx| async move {
+        let call = move |client: PeerServiceClient, cx| async move {
             client.open(cx, own_incarnation, incarnation, budget, opened).await
         };
-        budgets.fleet.base.peers.call(&witness.address, timeout, ask)
+        budgets.fleet.base.peers.call(&witness.address, timeout, call)
     });
-    let agreed = join_all(asks).await.into_iter().all(|agreed| agreed == Some(true));
+    let agreed = join_all(calls).await.into_iter().all(|agreed| agreed == Some(true));
     agreed && budgets.holder().confirm_opening(budget, &opening)
 }
 
@@ -137,10 +137,10 @@
     let received = budgets.holder().received_from(budget, incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     let wanted = budget.clone();
-    let ask = |client: PeerServiceClient, cx| async move {
+    let call = |client: PeerServiceClient, cx| async move {
         client.give(cx, wanted, incarnation, own_incarnation, received, Tokens::MAX).await
     };
-    match budgets.fleet.base.peers.call(&holder.address, timeout, ask).await {
+    match budgets.fleet.base.peers.call(&holder.address, timeout, call).await {
         Some(GiveAnswer::Sent { cumulative, reserved }) => {
             budgets.holder().record_received(budget, incarnation, cumulative);
             reserved > 0
@@ -172,10 +172,10 @@
         let opened = if witness_incarnation == budgets.fleet.base.incarnation {
             Some(budgets.marks().close(gone, budget))
         } else {
-            let ask = |client: PeerServiceClient, cx| async move {
+            let call = |client: PeerServiceClient, cx| async move {
                 client.close(cx, gone, witness_incarnation, closed_budget).await
             };
-            budgets.fleet.base.peers.call(&witness.address, timeout, ask).await.flatten()
+            budgets.fleet.base.peers.call(&witness.address, timeout, call).await.flatten()
         };
         let Some(opened) = opened else { continue };
         let budget = budget.clone();
@@ -183,7 +183,8 @@
             Request::Reclaim { budget, holder: gone, witness: witness_incarnation, opened };
         // Only an owner's task collects, so that task is running here.
         let shard = shard_of_budget(request.budget(), limits.budget_shards);
-        let answer = budgets.owner_tasks.ask(shard, request).await.map(|answer| answer.reply);
+        let answer =
+            budgets.owner_tasks.send_request(shard, request).await.map(|answer| answer.reply);
         slog::info!(budgets.fleet.base.log, "grant reclaimed"; "holder" => %gone, "answer" => ?answer);
         return;
     }
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -97,9 +97,9 @@
         if let (Request::Draw(draw), Some(incarnation)) = (&mut request, owner.incarnation) {
             draw.received = budgets.holder().received_from(&draw.budget, incarnation);
         }
-        let ask =
+        let call =
             |client: PeerServiceClient, cx| async move { client.ask_owner(cx, request).await };
-        match budgets.fleet.base.peers.call(&owner.address, timeout, ask).await {
+        match budgets.fleet.base.peers.call(&owner.address, timeout, call).await {
             Some(OwnerAnswer { reply: Reply::StoreAway { .. }, sent: None }) => {
                 // The owner alone may be unable to reach the store.
             }
@@ -134,9 +134,9 @@
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
     for peer in peers.into_iter().flatten().take(MAX_RELAYS) {
         let request = request.clone();
-        let ask =
+        let call =
             |client: PeerServiceClient, cx| async move { client.ask_owner(cx, request).await };
-        match budgets.fleet.base.peers.call(&peer.address, timeout, ask).await {
+        match budgets.fleet.base.peers.call(&peer.address, timeout, call).await {
             Some(OwnerAnswer { reply: Reply::StoreAway { .. }, .. }) => {}
             Some(answer) => return answer,
             None => budgets.fleet.members.lock().record_failure(&peer.name),
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -1,7 +1,8 @@
 //! Hand-over of all free tokens to a peer when a daemon stops while the store is unreachable.
 //!
-//! Tokens given back to the store would reach the other daemons too, but a store that is unreachable
-//! for longer than the grace time records nothing, and the tokens would be lost with this daemon.
+//! Tokens given back to the store would reach the other daemons too, but a store that is
+//! unreachable for longer than the grace time records nothing, and the tokens would be lost with
+//! this daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -23,9 +23,9 @@
 pub async fn ask_local_owner(budgets: &Arc<Budgets>, request: Request) -> OwnerAnswer {
     let shard = shard_of_request(budgets, &request);
     ensure_task(budgets, shard);
-    let away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
-    let away = OwnerAnswer { reply: away, sent: None };
-    budgets.owner_tasks.ask(shard, request).await.unwrap_or(away)
+    let store_away = Reply::StoreAway { retry_after_ms: RETRY_SOON_MS };
+    let store_away = OwnerAnswer { reply: store_away, sent: None };
+    budgets.owner_tasks.send_request(shard, request).await.unwrap_or(store_away)
 }
 
 /// Returns the shard of the budget that a request concerns.
--- a/crates/daemon/src/budget/owner_tasks.rs
+++ b/crates/daemon/src/budget/owner_tasks.rs
@@ -53,7 +53,7 @@
 
     /// Sends a request to the owner task of a shard and returns its answer; `None` if this daemon
     /// has no such task or the task has ended.
-    pub(super) async fn ask(&self, shard: u32, request: Request) -> Option<OwnerAnswer> {
+    pub(super) async fn send_request(&self, shard: u32, request: Request) -> Option<OwnerAnswer> {
         let task = self.tasks.lock().get(&shard).cloned()?;
         let (tx, rx) = oneshot::channel();
         task.send(Message::Request(request, tx)).ok()?;
--- a/crates/daemon/src/budget/ration.rs
+++ b/crates/daemon/src/budget/ration.rs
@@ -10,8 +10,8 @@
 use crate::budget::budgets::Budgets;
 use crate::budget::owner::refresh_outlook;
 
-/// Age in milliseconds above which the outlook of a budget is read again before a request is refused
-/// because of it: a top-up or tokens given back by other daemons may be available by then.
+/// Age in milliseconds above which the outlook of a budget is read again before a request is
+/// refused because of it: a top-up or tokens given back by other daemons may be available by then.
 const MAX_OUTLOOK_AGE_MS: Millis = 1_000;
 
 /// Timeout of that read. A read of the store takes some 4 ms, and a refusal that comes later than a
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -104,9 +104,9 @@
     tokio::spawn(async move { refill(&budgets, &budget, 0, TokenSource::Owner(None)).await });
 }
 
-/// Sends a request for 0 tokens to an owner whose incarnation is unknown, if there are tokens to give
-/// back: the answer contains the incarnation. Without it, hosts that were owners while a fleet was
-/// starting kept a tenth of the largest budget all day.
+/// Sends a request for 0 tokens to an owner whose incarnation is unknown, if there are tokens to
+/// give back: the answer contains the incarnation. Without it, hosts that were owners while a fleet
+/// was starting kept a tenth of the largest budget all day.
 fn query_owner_incarnation(budgets: &Arc<Budgets>, budget: &Budget, owner: &Peer) {
     if budgets.holder().free(&budget.name) == 0 {
         return;
--- a/crates/daemon/src/budget/statement.rs
+++ b/crates/daemon/src/budget/statement.rs
@@ -43,8 +43,8 @@
     Ok(attempt)
 }
 
-/// Makes one attempt. The store is read again after the daemons were asked, so that tokens in transit
-/// to a daemon are not missed.
+/// Makes one attempt. The store is read again after the daemons were asked, so that tokens in
+/// transit to a daemon are not missed.
 async fn attempt(
     budgets: &Arc<Budgets>,
     row: &Budget,
@@ -74,10 +74,10 @@
         budgets.fleet.members.lock().usable().map(|peer| peer.address.clone()).collect();
     addresses.extend(ledger.grants.values().map(|grant| grant.address.to_string()));
     addresses.remove(budgets.fleet.base.cfg.peer_address());
-    let asked = addresses.iter().map(|address| {
+    let calls = addresses.iter().map(|address| {
         let budget = budget.clone();
-        let ask = |client: PeerServiceClient, cx| async move { client.holding(cx, budget).await };
-        budgets.fleet.base.peers.call(address, timeout, ask)
+        let call = |client: PeerServiceClient, cx| async move { client.holding(cx, budget).await };
+        budgets.fleet.base.peers.call(address, timeout, call)
     });
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(calls).await.into_iter().flatten().collect()
 }
--- a/crates/daemon/src/budget/terms.rs
+++ b/crates/daemon/src/budget/terms.rs
@@ -23,8 +23,8 @@
 /// twice as many tokens are lost with a killed owner, 0.426; with nothing kept 0.401.
 const KEPT_FOR_OTHERS_FRACTION: f64 = 0.2;
 
-/// Returns the current terms on which this daemon draws on a budget. How far ahead it draws, and for
-/// which daemons, depends on the table row, the size of the fleet, the owner of the budget and
+/// Returns the current terms on which this daemon draws on a budget. How far ahead it draws, and
+/// for which daemons, depends on the table row, the size of the fleet, the owner of the budget and
 /// whether a planned stop has begun.
 pub(crate) fn draw_terms(budgets: &Budgets, budget: &Budget) -> DrawTerms {
     let terms = DrawTerms {
@@ -48,7 +48,7 @@
         return DrawTerms { horizon_s, held_ahead: 0.0, ..terms };
     }
     if budgets.fleet.is_small() {
-        // A new daemon knows no peers yet, and would take all their shares for itself.
+        // Before its peers are known, this daemon would take the shares of all of them.
         let is_new = budgets.fleet.base.clock.now() < MEMBERS_KNOWN_MS;
         let daemons = if is_new { terms.daemons.max(ASSUMED_FLEET_SIZE) } else { terms.daemons };
         return DrawTerms { daemons, ..terms };
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -55,7 +55,7 @@
     /// Notified when blocks have to be written to the store.
     to_persist: Notify,
     /// Limits how often the facts of peers are requested.
-    asked: AskPause,
+    fetch_pause: AskPause,
 }
 
 impl Crashes {
@@ -73,7 +73,7 @@
             to_decide: Notify::new(),
             isolated_runs: IsolatedRuns::default(),
             to_persist: Notify::new(),
-            asked: AskPause::default(),
+            fetch_pause: AskPause::default(),
         }
     }
 
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Records the end of a response. A response that is delimited only by the end of its connection
-    /// looks complete also if its server crashed, so it is no evidence of a success.
+    /// Records the end of a response. A response that is delimited only by the end of its
+    /// connection looks complete also if its server crashed, so it is no evidence of a success.
     pub fn record_response_end(
         self: &Arc<Self>,
         choice: &Choice,
@@ -215,11 +215,13 @@
             self.fleet.base.metrics.count("server.crashed");
             slog::info!(self.fleet.base.log, "server crashed";
                 "server" => %crash.server.name, "started_ms" => crash.server.started_ms,
-                "age_ms" => crash.age_ms, "aboard" => list(&crash.running), "found_here" => is_local);
+                "age_ms" => crash.age_ms, "aboard" => list(&crash.running),
+                "found_here" => is_local);
         }
         for cleared in &updates.cleared {
             slog::info!(self.fleet.base.log, "request cleared";
-                "fingerprint" => %cleared.request, "age_ms" => cleared.age_ms, "found_here" => is_local);
+                "fingerprint" => %cleared.request, "age_ms" => cleared.age_ms,
+                "found_here" => is_local);
         }
         for block in &updates.blocks {
             self.fleet.base.metrics.count("request.blocked");
--- a/crates/daemon/src/crashes/exchange.rs
+++ b/crates/daemon/src/crashes/exchange.rs
@@ -11,17 +11,17 @@
 use crate::crashes::{Crashes, Origin};
 use crate::peer::{FETCH_TIMEOUT, PeerServiceClient};
 
-/// Number of peers to which new facts are sent at once. Each forwards what is new to it, so that 300
-/// daemons know of a crash after some five rounds; heartbeats reach those that were missed.
+/// Number of peers to which new facts are sent at once. Each forwards what is new to it, so that
+/// 300 daemons know of a crash after some five rounds; heartbeats reach those that were missed.
 const SAMPLE_SIZE: usize = 6;
 
 /// Time for which updates are batched before they are sent: hosts detect a crash on each of its
-/// connections, one after the other. Sent one by one, the updates of a crash with 20 running requests
-/// take 10,000 calls in a fleet of 87 (computed).
+/// connections, one after the other. Sent one by one, the updates of a crash with 20 running
+/// requests take 10,000 calls in a fleet of 87 (computed).
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Minimum interval between two requests for all facts of a peer, in milliseconds. An answer takes up
-/// to some 500 kB when many requests crash servers.
+/// Minimum interval between two requests for all facts of a peer, in milliseconds. An answer takes
+/// up to some 500 kB when many requests crash servers.
 const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 
 impl Crashes {
@@ -98,13 +98,13 @@
         if peer_digest == 0 || peer_digest == self.digest() {
             return;
         }
-        if !self.asked.may_ask(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
+        if !self.fetch_pause.may_ask(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
             return;
         }
         let (crashes, address) = (Arc::clone(self), address.to_owned());
         tokio::spawn(async move {
-            let ask = |client: PeerServiceClient, cx| async move { client.crash_facts(cx).await };
-            match crashes.fleet.base.peers.call(&address, FETCH_TIMEOUT, ask).await {
+            let call = |client: PeerServiceClient, cx| async move { client.crash_facts(cx).await };
+            match crashes.fleet.base.peers.call(&address, FETCH_TIMEOUT, call).await {
                 Some(facts) => crashes.merge_facts(facts),
                 None => {
                     slog::debug!(crashes.fleet.base.log, "failed to fetch crash facts"; "peer" => &address)
--- a/crates/daemon/src/crashes/isolation.rs
+++ b/crates/daemon/src/crashes/isolation.rs
@@ -1,5 +1,5 @@
-//! Restrictions on a request before each attempt: it waits until its verdict is known, and a request
-//! with the same crashes as another one runs once more in isolation, sent by a single host.
+//! Restrictions on a request before each attempt: it waits until its verdict is known, and a
+//! request with the same crashes as another one runs once more in isolation, sent by a single host.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Begins the single run of an isolated request. Returns `None` if this daemon is not the owner of
-    /// the request, or is already running it.
+    /// Begins the single run of an isolated request. Returns `None` if this daemon is not the owner
+    /// of the request, or is already running it.
     pub fn begin_isolated_run(self: &Arc<Self>, request: Fingerprint) -> Option<IsolatedRun> {
         if !self.owns(request) {
             return None;
--- a/crates/daemon/src/crashes/persistence.rs
+++ b/crates/daemon/src/crashes/persistence.rs
@@ -1,5 +1,5 @@
-//! Persistence of blocks in the platform's store, so that a blocked request does not crash three more
-//! servers after the loss of all daemons at once.
+//! Persistence of blocks in the platform's store, so that a blocked request does not crash three
+//! more servers after the loss of all daemons at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 /// Name of the object that contains all blocks.
 const OBJECT_NAME: &str = "all";
 
-/// Delay before blocks are written, so that hosts that decide on the same block simultaneously write
-/// it once, and that reports of a success still in transit arrive in time.
+/// Delay before blocks are written, so that hosts that decide on the same block simultaneously
+/// write it once, and that reports of a success still in transit arrive in time.
 const WRITE_DELAY: Duration = Duration::from_millis(300);
 
 /// Pause after a failed read or write of the blocks.
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -13,15 +13,16 @@
 /// Timeout of a connection attempt; a reachable host accepts or refuses within 2 ms.
 const REACH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Minimum time for which a connection to a running server stays open. No port was seen to stay open
-/// after the end of its process for longer than this.
+/// Minimum time for which a connection to a running server stays open. No port was seen to stay
+/// open after the end of its process for longer than this.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 
 /// Pause between two attempts to reach an unresponsive server.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which a server that neither accepts nor refuses connections is checked, in milliseconds.
-/// The list entry of a server lost with its host is removed after three heartbeats, some 3 to 4 s.
+/// Time for which a server that neither accepts nor refuses connections is checked, in
+/// milliseconds. The list entry of a server lost with its host is removed after three heartbeats,
+/// some 3 to 4 s.
 const MAX_CHECK_MS: Millis = 5_000;
 
 /// Checks whether a disconnected server has crashed and records the result.
@@ -37,8 +38,8 @@
     }
 }
 
-/// Returns whether a server has crashed: it refuses connections, or its entry is gone from the server
-/// list. A server that is still in doubt after `MAX_CHECK_MS` counts as running.
+/// Returns whether a server has crashed: it refuses connections, or its entry is gone from the
+/// server list. A server that is still in doubt after `MAX_CHECK_MS` counts as running.
 async fn has_crashed(crashes: &Crashes, server: &ServerStart, address: &str) -> bool {
     let deadline = crashes.fleet.base.clock.now() + MAX_CHECK_MS;
     loop {
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -25,8 +25,8 @@
 /// Tokens that the other daemon requests.
 const REQUESTED: Tokens = 1_000;
 
-/// Number of checks of the owner's tokens and the pause between two: some 20 s in all. The surplus is
-/// given back 4 s after the start.
+/// Number of checks of the owner's tokens and the pause between two: some 20 s in all. The surplus
+/// is given back 4 s after the start.
 const CHECKS: u32 = 400;
 const PAUSE: Duration = Duration::from_millis(50);
 
@@ -85,8 +85,8 @@
 }
 
 /// Guards against tokens that stay with a former owner: 3,252,788 tokens of the largest budget, an
-/// eighth of it, stayed with one host of 295 all day. While the fleet started, hosts that knew only a
-/// part of it considered themselves owners and drew; then other hosts became the owners. A daemon
+/// eighth of it, stayed with one host of 295 all day. While the fleet started, hosts that knew only
+/// a part of it considered themselves owners and drew; then other hosts became the owners. A daemon
 /// gives back only to an owner whose incarnation it knows, and it had never asked the new one.
 #[tokio::test]
 async fn tokens_of_a_former_owner_are_returned_to_an_owner_it_never_asked() {
