--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -17,7 +17,7 @@
     pub store: Store,
     /// Tasks of the request log's shards.
     pub logs: LogTasks,
-    /// Pending entries, oldest first.
+    /// Pending entries, in the order of their next submission.
     pub(super) pending: Mutex<VecDeque<Entry>>,
     /// Held while a batch is submitted, so that only one is at a time.
     pub(super) batch_lock: tokio::sync::Mutex<()>,
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -19,8 +19,8 @@
 /// shards have different owners.
 const OWNER_KEY: u64 = 0x6c6f_6700_0000_0000;
 
-/// Appends an entry through the shard's owner, or in this daemon if the owner does not answer.
-/// Submitting an entry twice is harmless: the log returns its outcome.
+/// Appends an entry through the shard's owner, or in this daemon if the owner does not answer or
+/// cannot reach the store. Submitting an entry twice is harmless: the log returns its outcome.
 pub async fn submit(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let owners =
         billing.fleet.members.lock().owners(OWNER_KEY + u64::from(entry.shard()), MAX_OWNERS_TRIED);
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -161,8 +161,8 @@
     }
 }
 
-/// Reclaims the tokens that a seemingly terminated holder never opened. If it is still running, its
-/// closed witness rejects any further opening.
+/// Reclaims the tokens that a seemingly terminated holder never opened. If it is still running, the
+/// witness that has closed it rejects any further opening.
 async fn reclaim(budgets: &Arc<Budgets>, budget: &Name, holder: &HolderRef) {
     let limits = &budgets.fleet.base.cfg.limits;
     let timeout = Duration::from_millis(limits.gather_timeout_ms);
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -100,7 +100,7 @@
     }
     slog::info!(budgets.fleet.base.log, "tokens given back"; "budget" => %budget.name, "tokens" => returned);
     let (budgets, budget) = (Arc::clone(budgets), budget.clone());
-    // The tokens are already debited: if this draw is lost, the next one reports them again.
+    // The tokens are already debited: if this message is lost, the next one reports them again.
     tokio::spawn(async move { refill(&budgets, &budget, 0, TokenSource::Owner(None)).await });
 }
 
