--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -1,4 +1,4 @@
-//! Shell around the request log: claims and bills on their way to the store.
+//! Tasks that run the shards of the request log, and submission of claims and bills to them.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -10,48 +10,49 @@
 
 use crate::base::mailbox::{Tickets, after, later};
 use crate::bill::billing::Billing;
-use crate::bill::log_tasks::{LogDump, Mail};
+use crate::bill::log_tasks::{LogDump, Message};
 
-/// Owners that are tried before this daemon appends itself.
-const OWNERS_TRIED: usize = 1;
+/// Number of owners tried before this daemon appends an entry itself.
+const MAX_OWNERS_TRIED: usize = 1;
 
-/// Mixed into the shard's number, so that budget shards and log shards do not
-/// share owners.
+/// Added to the shard number to form the rendezvous hashing key, so that budget shards and log
+/// shards have different owners.
 const OWNER_KEY: u64 = 0x6c6f_6700_0000_0000;
 
-/// Appends an entry by way of the shard's owner, else by this daemon itself.
-/// Submitting an entry twice does no harm: the log tells what it came to.
+/// Appends an entry through the shard's owner, or in this daemon if the owner does not answer or
+/// cannot reach the store. Submitting an entry twice is harmless: the log returns its outcome.
 pub async fn submit(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let owners =
-        billing.fleet.members.lock().owners(OWNER_KEY + u64::from(entry.shard()), OWNERS_TRIED);
+        billing.fleet.members.lock().owners(OWNER_KEY + u64::from(entry.shard()), MAX_OWNERS_TRIED);
     let timeout = Duration::from_millis(billing.fleet.base.cfg.limits.peer_timeout_ms);
     for owner in owners {
         let Some(owner) = owner else { break };
         let sent = entry.clone();
-        let ask = |client: crate::peer::PeerServiceClient, cx| async move {
+        let call = |client: crate::peer::PeerServiceClient, cx| async move {
             client.submit(cx, sent).await
         };
-        match billing.fleet.base.peers.call(&owner.address, timeout, ask).await {
-            // The owner may be cut off from the store alone.
+        match billing.fleet.base.peers.call(&owner.address, timeout, call).await {
+            // The owner alone may be unable to reach the store.
             Some(Outcome::StoreAway) => {}
             Some(outcome) => return outcome,
             None => billing.fleet.members.lock().record_failure(&owner.name),
         }
     }
-    submit_here(billing, entry).await
+    submit_locally(billing, entry).await
 }
 
-/// Appends an entry by this daemon itself.
-pub async fn submit_here(billing: &Arc<Billing>, entry: Entry) -> Outcome {
+/// Appends an entry in this daemon.
+pub async fn submit_locally(billing: &Arc<Billing>, entry: Entry) -> Outcome {
     let (tx, rx) = oneshot::channel();
-    let log = local_log(billing, entry.shard());
-    if log.send(Mail::Submitted(entry, tx)).is_err() {
+    let log = log_task(billing, entry.shard());
+    if log.send(Message::Submitted(entry, tx)).is_err() {
         return Outcome::StoreAway;
     }
     rx.await.unwrap_or(Outcome::StoreAway)
 }
 
-fn local_log(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Mail> {
+/// Returns the channel to the task of a shard, starting the task if necessary.
+fn log_task(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Message> {
     let mut shards = billing.logs.shards.lock();
     let log = shards.entry(shard).or_insert_with(|| {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -71,35 +72,38 @@
 struct LogTask {
     shard: u32,
     billing: Weak<Billing>,
-    tx: mpsc::WeakUnboundedSender<Mail>,
+    tx: mpsc::WeakUnboundedSender<Message>,
     tickets: Tickets<Outcome>,
 }
 
 impl LogTask {
-    async fn run(mut self, mut machine: RequestLog, mut rx: mpsc::UnboundedReceiver<Mail>) {
+    async fn run(mut self, mut machine: RequestLog, mut rx: mpsc::UnboundedReceiver<Message>) {
         while let Some(mail) = rx.recv().await {
             let Some(billing) = self.billing.upgrade() else { return };
             let event = match mail {
-                Mail::Event(event) => event,
-                Mail::Submitted(entry, reply) => Event::Submitted(self.tickets.add(reply), entry),
-                Mail::Dump(reply) => {
+                Message::Event(event) => event,
+                Message::Submitted(entry, reply) => {
+                    Event::Submitted(self.tickets.add(reply), entry)
+                }
+                Message::Dump(reply) => {
                     let dump = LogDump {
                         remembered: machine.tracked_requests(),
                         waiting: machine.pending_entries(),
                         appends: machine.appends(),
                         reads: machine.reads(),
                     };
-                    // Whoever asked may have gone away.
+                    // The requester may have been dropped.
                     let _gone = reply.send(dump);
                     continue;
                 }
             };
             let commands = machine.handle(billing.fleet.base.clock.unix_ms(), event);
-            self.carry_out(&billing, commands);
+            self.execute(&billing, commands);
         }
     }
 
-    fn carry_out(&mut self, billing: &Arc<Billing>, commands: Vec<Command>) {
+    /// Executes the commands of the log's state machine.
+    fn execute(&mut self, billing: &Arc<Billing>, commands: Vec<Command>) {
         let mut wake_at: Option<Millis> = None;
         for command in commands {
             match command {
@@ -123,30 +127,34 @@
         }
         if let Some(at) = wake_at {
             let wait = at.saturating_sub(billing.fleet.base.clock.unix_ms());
-            after(&self.tx, wait, Mail::Event(Event::Tick));
+            after(&self.tx, wait, Message::Event(Event::Tick));
         }
     }
 }
 
-async fn event(work: impl Future<Output = Event>) -> Mail {
-    Mail::Event(work.await)
+/// Wraps the outcome of `work` in a message to the task.
+async fn event(work: impl Future<Output = Event>) -> Message {
+    Message::Event(work.await)
 }
 
+/// Finds the number of the newest segment in the store.
 async fn find_newest(billing: Arc<Billing>, shard: u32) -> Event {
     match billing.store.last_name(Kind::RequestLog(shard)).await {
         Ok(name) => Event::NewestFound(name.and_then(|name| name.parse().ok())),
-        Err(e) => away(&billing, shard, &e),
+        Err(e) => read_failed(&billing, shard, &e),
     }
 }
 
+/// Reads a segment from the store.
 async fn read(billing: Arc<Billing>, shard: u32, number: u64) -> Event {
     let name = segment_name(number);
     match billing.store.read::<Segment>(Kind::RequestLog(shard), &name).await {
         Ok(read) => Event::SegmentRead(number, read.map(|read| read.value)),
-        Err(e) => away(&billing, shard, &e),
+        Err(e) => read_failed(&billing, shard, &e),
     }
 }
 
+/// Creates a segment in the store if it is absent.
 async fn append(billing: Arc<Billing>, shard: u32, number: u64, segment: Segment) -> Event {
     let name = segment_name(number);
     match billing.store.write(Kind::RequestLog(shard), &name, 0, &segment).await {
@@ -157,7 +165,8 @@
     }
 }
 
-fn away(billing: &Billing, shard: u32, e: &bankcove_ports::Error) -> Event {
-    slog::warn!(billing.fleet.base.log, "log shard not read"; "shard" => shard, "error" => %e);
+/// Logs a failed read and returns its event.
+fn read_failed(billing: &Billing, shard: u32, e: &bankcove_ports::Error) -> Event {
+    slog::warn!(billing.fleet.base.log, "failed to read request log shard"; "shard" => shard, "error" => %e);
     Event::StoreUnavailable
 }
