--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -298,7 +298,7 @@
     println!("{:<44} {:>9.2} B", "server that leaves, told", wire_bytes(&leaves));
     let wish = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
     let asked = wire_bytes(&(fact, wish));
-    let answer = PermitAnswer::none(278);
+    let answer = PermitAnswer::denied(278);
     println!("{:<44} {:>9.2} B", "permit asked for and answered", asked + wire_bytes(&answer));
     let table: Table = table(10_000, 10);
     println!("{:<44} {:>9.0} B", "whole table of 10,000 servers", json_bytes(&table));
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -99,7 +99,7 @@
     outgoing: Outgoing,
     kind: ServerKind,
 ) -> Result<Response, DispatchError> {
-    let Ok(choice) = permit.spend() else {
+    let Ok(choice) = permit.consume() else {
         return Err(DispatchError::NotSent(NotExecuted::never_sent()));
     };
     let asked_at = api.requests.base.clock.now();
@@ -161,7 +161,7 @@
     model: &str,
     offset: u64,
 ) -> Option<Response> {
-    let choice = permit.spend().ok()?;
+    let choice = permit.consume().ok()?;
     let asked_at = api.requests.base.clock.now();
     let url = format!("http://{}/v1/runs/{run_id}/stream", choice.address);
     let req = api.http.get(url).query(&[("offset", offset.to_string().as_str()), ("model", model)]);
@@ -184,7 +184,7 @@
     struct Count {
         count: Tokens,
     }
-    let choice = permit.spend().ok()?;
+    let choice = permit.consume().ok()?;
     let asked_at = api.requests.base.clock.now();
     let url = format!("http://{}/v1/tokenize", choice.address);
     let res = api.http.post(url).json(body).timeout(SHORT_CALL).send().await.ok()?;
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -70,7 +70,9 @@
     // One that gave no permit is not chosen again for a while.
     loop {
         let choice = choose_at(api, need, tried, place)?;
-        if let Ok(permit) = api.requests.hints.permit(&api.requests.base.log, choice, 0).await {
+        if let Ok(permit) =
+            api.requests.hints.acquire_permit(&api.requests.base.log, choice, 0).await
+        {
             return Ok(permit);
         }
     }
@@ -212,7 +214,7 @@
     let not_run = give_back(api, attempt, need);
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let (metric, code, message, return_ms) =
-        match api.requests.hints.in_turn(&Name::from(need.pool), why) {
+        match api.requests.hints.schedule_retry(&Name::from(need.pool), why) {
             NoServer::OnlyLimited(at_limit) => (
                 "refused.only_limited",
                 "only_limited",
--- a/crates/daemon/src/api/pump.rs
+++ b/crates/daemon/src/api/pump.rs
@@ -258,7 +258,7 @@
             slog::info!(self.log, "stream resumed"; "offset" => self.sequence.next());
             let offset = self.sequence.next();
             let hints = &self.api.requests.hints;
-            let permit = match hints.permit(self.log, self.choice.clone(), 0).await {
+            let permit = match hints.acquire_permit(self.log, self.choice.clone(), 0).await {
                 Ok(permit) => permit,
                 Err(no_permit) => {
                     // The run goes on there, and what it makes is kept.
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -157,7 +157,7 @@
         tokio::spawn(keep::keep(Arc::clone(&daemon.crashes)));
         tokio::spawn(Arc::clone(&daemon.crashes).decide());
         tokio::spawn(Arc::clone(&daemon.crashes).tell_news());
-        hints::spread::spawn_tell(&daemon.hints);
+        hints::gossip::spawn_gossip(&daemon.hints);
         tokio::spawn(suspension::watch(daemon.fleet.clone()));
         tokio::spawn(table_sync::watch(Arc::clone(&daemon.view)));
         tokio::spawn(server_sync::watch(Arc::clone(&daemon.view)));
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -11,7 +11,7 @@
 pub mod call;
 pub mod charge;
 pub mod forward;
-pub mod link_use;
+pub mod link_reservation;
 pub mod pace;
 pub mod plan;
 pub mod ready;
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -39,7 +39,7 @@
     /// # Errors
     /// What the caller is told instead.
     pub async fn admit(mut call: Call) -> Result<Self, Refusal> {
-        call.pass_crashes().await?;
+        call.check_crashes().await?;
         let charge = charge(&call).await?;
         let now = call.entry.requests.base.clock.now();
         call.entry.retries.lock().record_request(&call.plan.service, now);
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -20,21 +20,21 @@
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// What a try has come to.
-pub enum Tried {
+pub enum AttemptOutcome {
     /// The server has begun a stream.
-    Begun(Response<Body>, OpenRequest, Choice),
+    StreamStarted(Response<Body>, OpenRequest, Choice),
     /// The server has answered.
-    Answered(Answered),
+    Answered(BufferedAnswer),
     /// Nothing ran there; others may be tried.
-    Unrun,
+    NotRun,
     /// It may have run there, and no answer came.
-    Lost,
+    AnswerLost,
     /// The time is over.
-    Late,
+    TimedOut,
 }
 
 /// A whole answer of a server.
-pub struct Answered {
+pub struct BufferedAnswer {
     /// Its status.
     pub status: StatusCode,
     /// Headers for the caller.
@@ -53,16 +53,16 @@
     charge: &mut Charge,
     permit: Permit,
     resume_after: Option<u64>,
-) -> Tried {
+) -> AttemptOutcome {
     let entry = Arc::clone(&call.entry);
     let choice = permit.choice().clone();
     let mut open = OpenRequest::new(&entry.requests, &choice, call.prompt_tokens());
     let outgoing = call.outgoing(&choice, resume_after);
     let ran_before = call.ran;
-    charge.sent();
+    charge.record_sent();
     call.tried.push(choice.server.clone());
-    call.link.sent(call.body.len());
-    call.link.sent_head();
+    call.link.record_chunk(call.body.len());
+    call.link.record_head();
     let clock = &entry.requests.base.clock;
     let asked_at = clock.now();
     let sent = clock.before(call.deadline, entry.backends.send(permit, outgoing)).await;
@@ -71,18 +71,18 @@
             call.ran = true;
             open.failed();
             log_try(call, &choice, "no answer in time");
-            return Tried::Late;
+            return AttemptOutcome::TimedOut;
         }
-        Some(Err(SendError::NotSpent(e))) => {
-            charge.not_run(ran_before);
+        Some(Err(SendError::Permit(e))) => {
+            charge.record_not_run(ran_before);
             log_try(call, &choice, &e.to_string());
-            return Tried::Unrun;
+            return AttemptOutcome::NotRun;
         }
         Some(Err(SendError::NotConnected(problem))) => {
-            charge.not_run(ran_before);
+            charge.record_not_run(ran_before);
             open.failed();
             log_try(call, &choice, &problem);
-            return Tried::Unrun;
+            return AttemptOutcome::NotRun;
         }
         Some(Err(SendError::Broken(problem))) => {
             call.sent += 1;
@@ -90,7 +90,7 @@
             open.failed();
             log_try(call, &choice, &problem);
             entry.requests.crashes.broke_off(&choice, call.fingerprint());
-            return Tried::Lost;
+            return AttemptOutcome::AnswerLost;
         }
         Some(Ok(res)) => res,
     };
@@ -102,7 +102,7 @@
         entry.requests.hints.observe(&call.log, &choice.start(), asked_at, &head.hints);
     }
     if let Some(unrun) = head.unrun {
-        charge.not_run(ran_before);
+        charge.record_not_run(ran_before);
         if unrun == Unrun::OtherInstance {
             // That start of the server is gone, whatever the lagging list says.
             let now = entry.requests.base.clock.now();
@@ -113,17 +113,17 @@
             );
         }
         log_try(call, &choice, unrun_text(unrun));
-        return Tried::Unrun;
+        return AttemptOutcome::NotRun;
     }
     call.ran = true;
     let promises_unrun = matches!(res.status().as_u16(), 408 | 421 | 429 | 503);
     if is_foreign || head.is_encoded || !head.is_signed || promises_unrun {
         open.failed();
         log_try(call, &choice, "the answer is not the server's answer to this request");
-        return Tried::Lost;
+        return AttemptOutcome::AnswerLost;
     }
     if res.status().is_success() && call.plan.route.streams {
-        return Tried::Begun(res, open, choice);
+        return AttemptOutcome::StreamStarted(res, open, choice);
     }
     read_whole(call, res, open, choice).await
 }
@@ -133,7 +133,7 @@
     res: Response<Body>,
     mut open: OpenRequest,
     choice: Choice,
-) -> Tried {
+) -> AttemptOutcome {
     let is_framed = crashes::is_framed(res.headers());
     let status = res.status();
     let headers = call.entry.wire.answer_headers(res.headers());
@@ -144,7 +144,13 @@
                 open.failed();
                 log_try(call, &choice, "the server failed");
             }
-            Tried::Answered(Answered { status, headers, body: body.to_bytes(), choice, is_framed })
+            AttemptOutcome::Answered(BufferedAnswer {
+                status,
+                headers,
+                body: body.to_bytes(),
+                choice,
+                is_framed,
+            })
         }
         Some(Err(e)) => {
             open.failed();
@@ -153,12 +159,12 @@
             if !is_large {
                 call.entry.requests.crashes.broke_off(&choice, call.fingerprint());
             }
-            Tried::Lost
+            AttemptOutcome::AnswerLost
         }
         None => {
             open.failed();
             log_try(call, &choice, "the answer did not end in time");
-            Tried::Late
+            AttemptOutcome::TimedOut
         }
     }
 }
--- a/crates/daemon/src/entry/backends.rs
+++ b/crates/daemon/src/entry/backends.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioExecutor;
 use parking_lot::Mutex;
 
-use crate::hints::permit::{NotSpent, Permit};
+use crate::hints::permit::{Permit, PermitError};
 
 /// Longest wait for a connection: a server in reach answers within 2 ms, and a
 /// silent one must not use up the 300 ms that callers of plain services allow.
@@ -48,7 +48,7 @@
 pub enum SendError {
     /// The permit could not be used, so nothing was sent; the server has failed nothing.
     #[error(transparent)]
-    NotSpent(#[from] NotSpent),
+    Permit(#[from] PermitError),
     /// No connection could be made, so nothing was sent.
     #[error("no connection: {0}")]
     NotConnected(String),
@@ -121,7 +121,7 @@
         permit: Permit,
         outgoing: Outgoing,
     ) -> Result<Response<Incoming>, SendError> {
-        let choice = permit.spend()?;
+        let choice = permit.consume()?;
         let uri = Uri::builder()
             .scheme(Scheme::HTTP)
             .authority(choice.address.as_str())
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -16,7 +16,7 @@
 use crate::crashes::gate::RunApart;
 use crate::entry::Entry;
 use crate::entry::backends::Outgoing;
-use crate::entry::link_use::LinkUse;
+use crate::entry::link_reservation::LinkReservation;
 use crate::entry::plan::Plan;
 use crate::entry::refusal::Refusal;
 use crate::hints::permit::{NoPermit, Permit};
@@ -63,7 +63,7 @@
     /// Whether it may have run.
     pub ran: bool,
     /// What it sends over this host's link.
-    pub link: LinkUse,
+    pub link: LinkReservation,
     /// See [`Call::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
     /// Its one further run, when it has the same crashes as another request.
@@ -110,11 +110,11 @@
     ///
     /// # Errors
     /// What the caller of another one is told.
-    pub async fn pass_crashes(&mut self) -> Result<(), Refusal> {
+    pub async fn check_crashes(&mut self) -> Result<(), Refusal> {
         let requests = &self.entry.requests;
         let refusal = match requests.crashes.settled(self.deadline, || self.fingerprint()).await {
             Verdict::Allowed | Verdict::Suspect => return Ok(()),
-            Verdict::Isolated if self.may_run_apart() => return Ok(()),
+            Verdict::Isolated if self.claim_isolated_run() => return Ok(()),
             Verdict::Isolated | Verdict::Undecided => Refusal::CrashesInDoubt,
             Verdict::Blocked => Refusal::CrashesServers,
         };
@@ -124,7 +124,7 @@
         Err(if self.ran { Refusal::AnswerLost } else { refusal })
     }
 
-    fn may_run_apart(&mut self) -> bool {
+    fn claim_isolated_run(&mut self) -> bool {
         if self.apart.is_none() {
             self.apart = self.entry.requests.crashes.run_apart(self.fingerprint());
         }
@@ -133,7 +133,7 @@
 
     /// Whether one more server may be tried: the route's tries, and the part
     /// of the fleet's repeats that this daemon may spend, are not used up.
-    pub fn may_send(&self) -> bool {
+    pub fn try_claim_attempt(&self) -> bool {
         if self.sent == 0 {
             return true;
         }
@@ -157,19 +157,19 @@
     ///
     /// # Errors
     /// [`NoServer`] when none is to be had.
-    pub async fn next_server(&self) -> Result<Permit, NoServer> {
+    pub async fn acquire_server(&self) -> Result<Permit, NoServer> {
         let mut last = NoServer::NoneUsable;
         for _ in 0..MOST_ASKS {
             let choice = self.choose_or_wait().await?;
             let hints = &self.entry.requests.hints;
-            match hints.permit(&self.log, choice, self.plan.rank()).await {
+            match hints.acquire_permit(&self.log, choice, self.plan.rank()).await {
                 Ok(permit) => return Ok(permit),
                 Err(NoPermit::AtLimit(at_limit)) => last = NoServer::OnlyLimited(at_limit),
                 // The router knows it by now.
                 Err(NoPermit::Closed(_)) => {}
             }
         }
-        Err(self.return_later(last))
+        Err(self.refuse_with_delay(last))
     }
 
     /// Chooses a server; while all are at their limits or rest it waits for the first of them,
@@ -188,16 +188,16 @@
                 _ => return Err(why),
             };
             if clock.now() + first_ms > until {
-                return Err(self.return_later(why));
+                return Err(self.refuse_with_delay(why));
             }
             tokio::time::sleep(Duration::from_millis(first_ms)).await;
         }
     }
 
     /// The refusal of a caller that comes back in its turn.
-    fn return_later(&self, why: NoServer) -> NoServer {
+    fn refuse_with_delay(&self, why: NoServer) -> NoServer {
         let requests = &self.entry.requests;
-        let why = requests.hints.in_turn(&self.plan.service, why);
+        let why = requests.hints.schedule_retry(&self.plan.service, why);
         let servers =
             requests.router.lock().throttled_servers(requests.base.clock.now(), &self.plan.service);
         slog::info!(self.log, "all servers at their limits or resting";
--- a/crates/daemon/src/entry/charge.rs
+++ b/crates/daemon/src/entry/charge.rs
@@ -48,25 +48,25 @@
     }
 
     /// The request is on its way to a server: it may run from here on.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.ran = true;
         self.unseen = true;
     }
 
     /// It is proved that this try ran nowhere. `ran_before` tells whether an
     /// earlier one did.
-    pub fn not_run(&mut self, ran_before: bool) {
+    pub fn record_not_run(&mut self, ran_before: bool) {
         self.ran = ran_before;
         self.unseen = ran_before;
     }
 
     /// An event was handed to the caller.
-    pub fn event(&mut self) {
+    pub fn record_event(&mut self) {
         self.events += 1;
     }
 
     /// The answer is whole: there is nothing that did not arrive.
-    pub fn whole(&mut self) {
+    pub fn record_complete(&mut self) {
         self.unseen = false;
     }
 
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -6,14 +6,14 @@
 use hyper::{HeaderMap, StatusCode};
 
 use crate::entry::admitted::Admitted;
-use crate::entry::attempt::{Answered, Tried, attempt, log_end};
+use crate::entry::attempt::{AttemptOutcome, BufferedAnswer, attempt, log_end};
 use crate::entry::refusal::Refusal;
 use crate::entry::relay::Relay;
 
 /// A backend server's answer, as it goes to the caller.
 pub enum Answer {
     /// A whole answer.
-    Whole(StatusCode, HeaderMap, Bytes),
+    Buffered(StatusCode, HeaderMap, Bytes),
     /// A stream of events.
     Stream(StatusCode, HeaderMap, Box<Relay>),
 }
@@ -27,16 +27,16 @@
     let mut failure = None;
     let mut none = NoServer::NoneUsable;
     loop {
-        if !call.may_send() {
+        if !call.try_claim_attempt() {
             break;
         }
         // It may have been blocked since it came, while it waited for tokens.
-        call.pass_crashes().await?;
+        call.check_crashes().await?;
         // A host that was suspended wakes with requests whose callers have long gone.
         if call.is_late() {
             return Err(if call.ran { Refusal::TimedOut } else { Refusal::TooLate });
         }
-        let permit = match call.next_server().await {
+        let permit = match call.acquire_server().await {
             Ok(permit) => permit,
             Err(why) => {
                 none = why;
@@ -45,35 +45,35 @@
         };
         let resume_after = call.incoming.resume_after;
         match attempt(&mut call, &mut charge, permit, resume_after).await {
-            Tried::Begun(res, open, choice) => {
+            AttemptOutcome::StreamStarted(res, open, choice) => {
                 let status = res.status();
                 let headers = call.entry.wire.answer_headers(res.headers());
                 let relay = Relay::new(call, charge, res, open, choice);
                 return Ok(Answer::Stream(status, headers, Box::new(relay)));
             }
-            Tried::Answered(answered) => {
-                let Answered { status, headers, body, choice, is_framed } = answered;
-                let is_failure = status.is_server_error() && call.plan.may_repeat();
+            AttemptOutcome::Answered(answered) => {
+                let BufferedAnswer { status, headers, body, choice, is_framed } = answered;
+                let is_failure = status.is_server_error() && call.plan.is_retryable();
                 if !is_failure {
-                    charge.whole();
+                    charge.record_complete();
                     let requests = &call.entry.requests;
                     requests.crashes.ended(&choice, is_framed, || call.fingerprint());
-                    call.link.sent(body.len());
+                    call.link.record_chunk(body.len());
                     log_end(&call, &charge, "answered", status);
-                    return Ok(Answer::Whole(status, headers, body));
+                    return Ok(Answer::Buffered(status, headers, body));
                 }
                 failure = Some((status, headers, body));
             }
-            Tried::Unrun => {}
-            Tried::Lost if call.plan.may_repeat() => {}
-            Tried::Lost => return Err(Refusal::AnswerLost),
-            Tried::Late if call.ran => return Err(Refusal::TimedOut),
-            Tried::Late => return Err(Refusal::TooLate),
+            AttemptOutcome::NotRun => {}
+            AttemptOutcome::AnswerLost if call.plan.is_retryable() => {}
+            AttemptOutcome::AnswerLost => return Err(Refusal::AnswerLost),
+            AttemptOutcome::TimedOut if call.ran => return Err(Refusal::TimedOut),
+            AttemptOutcome::TimedOut => return Err(Refusal::TooLate),
         }
     }
     if let Some((status, headers, body)) = failure {
         log_end(&call, &charge, "server failed", status);
-        return Ok(Answer::Whole(status, headers, body));
+        return Ok(Answer::Buffered(status, headers, body));
     }
     Err(if call.ran { Refusal::AnswerLost } else { Refusal::no_server(none) })
 }
--- a/crates/daemon/src/entry/link_use.rs
+++ b/crates/daemon/src/entry/link_reservation.rs
@@ -23,15 +23,15 @@
 const ANSWER_BYTES: u64 = 1_000;
 
 /// The promise of the link to one request; dropping it corrects it.
-pub struct LinkUse {
+pub struct LinkReservation {
     entry: Arc<Entry>,
     expected: Traffic,
     sent: Traffic,
 }
 
-impl LinkUse {
+impl LinkReservation {
     /// Asks for a promise; none when the link is promised too far ahead.
-    pub fn promise(
+    pub fn reserve(
         entry: &Arc<Entry>,
         plan: &Plan,
         incoming: &Incoming,
@@ -44,21 +44,21 @@
         let is_promised = link.as_mut().is_none_or(|link| link.reserve(expected, rank, now));
         drop(link);
         let entry = Arc::clone(entry);
-        is_promised.then(|| LinkUse { entry, expected, sent: Traffic::default() })
+        is_promised.then(|| LinkReservation { entry, expected, sent: Traffic::default() })
     }
 
     /// A request or a piece of its answer was sent.
-    pub fn sent(&mut self, bytes: usize) {
+    pub fn record_chunk(&mut self, bytes: usize) {
         self.sent.add(bytes);
     }
 
     /// A head was sent.
-    pub fn sent_head(&mut self) {
+    pub fn record_head(&mut self) {
         self.sent.add(HEAD_BYTES as usize);
     }
 }
 
-impl Drop for LinkUse {
+impl Drop for LinkReservation {
     fn drop(&mut self) {
         let now = self.entry.requests.base.clock.now();
         if let Some(link) = self.entry.link.lock().as_mut() {
--- a/crates/daemon/src/entry/pace.rs
+++ b/crates/daemon/src/entry/pace.rs
@@ -18,7 +18,7 @@
 
 /// How the events of one stream came, as this daemon read them.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct PaceMeter {
     arrived: Instant,
     first: Option<Duration>,
     last: Instant,
@@ -28,18 +28,18 @@
     count: u32,
 }
 
-impl Pace {
+impl PaceMeter {
     /// The pace of a stream that was asked for this long ago.
-    pub fn since(age: Duration) -> Self {
+    pub fn started_before(age: Duration) -> Self {
         let now = Instant::now();
         let arrived = now.checked_sub(age).unwrap_or(now);
         let times = Box::new([0; STEPS]);
         let longest_pause = Duration::ZERO;
-        Pace { arrived, first: None, last: arrived, longest_pause, times, count: 0 }
+        PaceMeter { arrived, first: None, last: arrived, longest_pause, times, count: 0 }
     }
 
     /// Takes in that an event has come now.
-    pub fn event(&mut self) {
+    pub fn record_event(&mut self) {
         let now = Instant::now();
         if self.first.is_none() {
             self.first = Some(now - self.arrived);
@@ -58,7 +58,7 @@
     }
 
     /// What it shows of its server; none when it was too short.
-    pub fn of_server(&self) -> Option<StreamPace> {
+    pub fn server_pace(&self) -> Option<StreamPace> {
         if self.count < MIN_TIMES {
             return None;
         }
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether the request may run again when its outcome is not known.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.route.repeatable || self.route.resumable
     }
 }
--- a/crates/daemon/src/entry/ready.rs
+++ b/crates/daemon/src/entry/ready.rs
@@ -14,14 +14,14 @@
 }
 
 /// The entry side that a request came to.
-pub fn entry(depot: &Depot) -> Arc<Entry> {
+pub fn injected_entry(depot: &Depot) -> Arc<Entry> {
     let entry = depot.obtain::<Arc<Entry>>();
     Arc::clone(entry.expect("the entry side is injected into every route"))
 }
 
 #[handler]
 async fn ready(depot: &mut Depot, res: &mut Response) {
-    let entry = entry(depot);
+    let entry = injected_entry(depot);
     let knows_servers = entry.view.servers.lock().version().is_some();
     let is_leaving = entry.requests.leaving.is_cancelled();
     if entry.requests.revision() == 0 || !knows_servers || is_leaving {
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -17,10 +17,10 @@
 use salvo::http::StatusCode;
 
 use crate::crashes;
-use crate::entry::attempt::{Tried, attempt, log_end, log_try};
+use crate::entry::attempt::{AttemptOutcome, attempt, log_end, log_try};
 use crate::entry::call::Call;
 use crate::entry::charge::Charge;
-use crate::entry::pace::Pace;
+use crate::entry::pace::PaceMeter;
 use crate::requests::open_request::OpenRequest;
 
 /// A stream of events on its way to the caller.
@@ -34,7 +34,7 @@
     choice: Choice,
     splitter: EventSplitter,
     order: EventSequence,
-    pace: Pace,
+    pace: PaceMeter,
 }
 
 /// What one read of the server's stream has brought.
@@ -57,7 +57,7 @@
         let is_framed = crashes::is_framed(res.headers());
         let body = res.into_body();
         let order = EventSequence::after(call.incoming.resume_after);
-        let pace = Pace::since(Duration::from_millis(call.age_ms()));
+        let pace = PaceMeter::started_before(Duration::from_millis(call.age_ms()));
         let splitter = EventSplitter::default();
         Relay { call, charge, body, is_framed, open, choice, splitter, order, pace }
     }
@@ -80,7 +80,7 @@
             let problem = match self.read().await {
                 Read::Events(events) => return Some(Ok(events)),
                 Read::End => {
-                    self.charge.whole();
+                    self.charge.record_complete();
                     let requests = &self.call.entry.requests;
                     let request = || self.call.fingerprint();
                     requests.crashes.ended(&self.choice, self.is_framed, request);
@@ -120,9 +120,9 @@
                 Err(problem) => return Read::Broken(problem),
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => {
-                    self.pace.event();
+                    self.pace.record_event();
                     self.open.begun();
-                    self.call.link.sent(events.len());
+                    self.call.link.record_chunk(events.len());
                     return Read::Events(events);
                 }
             }
@@ -134,7 +134,7 @@
         while let Some(event) = self.splitter.next_event() {
             match self.order.accept(event.id) {
                 EventAction::Deliver => {
-                    self.charge.event();
+                    self.charge.record_event();
                     out.extend_from_slice(&event.raw);
                 }
                 EventAction::Duplicate => {}
@@ -151,11 +151,11 @@
         if !self.call.plan.route.resumable {
             return false;
         }
-        while self.call.may_send() {
-            let Ok(permit) = self.call.next_server().await else { return false };
+        while self.call.try_claim_attempt() {
+            let Ok(permit) = self.call.acquire_server().await else { return false };
             let after = self.order.last();
             match attempt(&mut self.call, &mut self.charge, permit, after).await {
-                Tried::Begun(res, open, choice) => {
+                AttemptOutcome::StreamStarted(res, open, choice) => {
                     slog::info!(self.call.log, "stream resumed";
                         "server" => %choice.server, "after" => after);
                     self.call.entry.requests.base.metrics.count("stream.resumed");
@@ -166,8 +166,8 @@
                     self.splitter = EventSplitter::default();
                     return true;
                 }
-                Tried::Unrun | Tried::Lost => {}
-                Tried::Answered(_) | Tried::Late => return false,
+                AttemptOutcome::NotRun | AttemptOutcome::AnswerLost => {}
+                AttemptOutcome::Answered(_) | AttemptOutcome::TimedOut => return false,
             }
         }
         false
@@ -176,7 +176,7 @@
     /// Tells how the stream came: late by its first event, or by a pause.
     fn tell_pace(&self) {
         let requests = &self.call.entry.requests;
-        if let Some(pace) = self.pace.of_server() {
+        if let Some(pace) = self.pace.server_pace() {
             requests.router.lock().record_stream_pace(
                 &self.choice.server,
                 self.choice.started_ms,
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -17,9 +17,9 @@
 use crate::entry::admitted::Admitted;
 use crate::entry::call::Call;
 use crate::entry::forward::{Answer, forward};
-use crate::entry::link_use::LinkUse;
+use crate::entry::link_reservation::LinkReservation;
 use crate::entry::plan::Plan;
-use crate::entry::ready::entry;
+use crate::entry::ready::injected_entry;
 use crate::entry::refusal::Refusal;
 use crate::requests::Requests;
 
@@ -31,13 +31,13 @@
 /// Serves one request.
 #[handler]
 async fn serve(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let entry = entry(depot);
+    let entry = injected_entry(depot);
     let in_flight = entry.requests.work.token();
     if entry.requests.leaving.is_cancelled() {
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     match handle(&entry, req).await {
-        Ok(Answer::Whole(status, headers, body)) => {
+        Ok(Answer::Buffered(status, headers, body)) => {
             res.status_code(status);
             res.headers_mut().extend(headers);
             res.body(body);
@@ -125,7 +125,8 @@
     }
     let path = req.uri().path_and_query().cloned();
     let body = read_body(table.caller_limits, &requests.base.cfg.limits, req).await?;
-    let link = LinkUse::promise(entry, &plan, &incoming, body.len()).ok_or(Refusal::LinkFull)?;
+    let link =
+        LinkReservation::reserve(entry, &plan, &incoming, body.len()).ok_or(Refusal::LinkFull)?;
     let patience = incoming.patience.unwrap_or(Duration::MAX);
     let longest = Duration::from_millis(plan.route.deadline_ms);
     Ok(Call {
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -2,14 +2,14 @@
 //! leave, that they want rest, and how many requests a second they take.
 //!
 //! `permit` is the one gate on the way to a server, `observe` takes in the heads of answers,
-//! `issue` hands out permits to peers, and `spread` tells them what is new. May call peers, and
+//! `issue` hands out permits to peers, and `gossip` tells them what is new. May call peers, and
 //! what is known of the fleet and the servers; called by the sides for callers, by heartbeats
 //! and by `peer_server`.
 
+pub mod gossip;
 mod issue;
 pub mod observe;
 pub mod permit;
-pub mod spread;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -114,7 +114,7 @@
 
     /// The same answer to a caller whose servers are all at their limits or rest, with its own
     /// turn to come back: callers come one after the other.
-    pub fn in_turn(&self, service: &Name, why: NoServer) -> NoServer {
+    pub fn schedule_retry(&self, service: &Name, why: NoServer) -> NoServer {
         match why {
             NoServer::OnlyLimited(at_limit) => {
                 let daemons = self.fleet.members.lock().usable().count() + 1;
--- a/crates/daemon/src/hints/spread.rs
+++ b/crates/daemon/src/hints/gossip.rs
@@ -39,7 +39,7 @@
 const PAUSE_PER_FACT: Duration = Duration::from_millis(4);
 
 /// Tells some peers what is new, until nobody finds anything new any more.
-pub fn spawn_tell(hints: &Hints) {
+pub fn spawn_gossip(hints: &Hints) {
     if let Some(news) = hints.to_tell.lock().take() {
         tokio::spawn(tell(hints.fleet.clone(), news));
     }
@@ -95,7 +95,7 @@
 
     /// A peer's heartbeat had this digest: asks it for what it knows if that is something
     /// else.
-    pub fn heard_digest(self: &Arc<Self>, address: &str, told: u64) {
+    pub fn pull_if_digest_differs(self: &Arc<Self>, address: &str, told: u64) {
         if told == self.digest() {
             return;
         }
@@ -106,7 +106,7 @@
         tokio::spawn(async move {
             let ask = |client: PeerServiceClient, cx| async move { client.hint_facts(cx).await };
             match hints.fleet.base.peers.call(&address, CALL_TIMEOUT, ask).await {
-                Some(facts) => hints.told(&facts),
+                Some(facts) => hints.merge_facts(&facts),
                 None => {
                     slog::debug!(hints.fleet.base.log, "hints not asked for"; "peer" => &address)
                 }
--- a/crates/daemon/src/hints/issue.rs
+++ b/crates/daemon/src/hints/issue.rs
@@ -8,7 +8,7 @@
 
 impl PermitAnswer {
     /// No permit; when it is worth asking again.
-    pub fn none(retry_ms: Millis) -> Self {
+    pub fn denied(retry_ms: Millis) -> Self {
         let issued = Issued { permits: 0, retry_ms };
         PermitAnswer { issued, is_free: false, newer: None }
     }
@@ -17,7 +17,7 @@
 impl Hints {
     /// Issues permits for the server that the asker knows this of.
     pub fn issue(&self, fact: &LimitFact, wish: PermitRequest) -> PermitAnswer {
-        self.told_limits(std::slice::from_ref(fact));
+        self.merge_limits(std::slice::from_ref(fact));
         let now = self.fleet.base.clock.now();
         let known = self.book.lock().fact(now, &fact.server);
         let newer = known.clone().filter(|known| known.limit != fact.limit);
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes in what a peer has told.
-    pub fn told(&self, facts: &[HintFact]) {
+    pub fn merge_facts(&self, facts: &[HintFact]) {
         let (mut limits, mut leaving) = (Vec::new(), Vec::new());
         for fact in facts {
             match fact {
@@ -97,22 +97,22 @@
             }
         }
         if !limits.is_empty() {
-            self.told_limits(&limits);
+            self.merge_limits(&limits);
         }
         if !leaving.is_empty() {
-            self.told_leaving(&leaving);
+            self.merge_leaving(&leaving);
         }
     }
 
     /// Takes in limits that a peer has told.
-    pub(super) fn told_limits(&self, facts: &[LimitFact]) {
+    pub(super) fn merge_limits(&self, facts: &[LimitFact]) {
         let now = self.fleet.base.clock.now();
         for change in &self.change_limits(|book| book.merge(now, facts)) {
             self.take_change(change, Source::Peer);
         }
     }
 
-    fn told_leaving(&self, facts: &[LeavingFact]) {
+    fn merge_leaving(&self, facts: &[LeavingFact]) {
         let now = self.fleet.base.clock.now();
         for fact in self.change_closed(|router| router.merge_leaving(now, facts)) {
             self.take_leaving(fact, Source::Peer);
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -35,7 +35,7 @@
 
 /// Why nothing was sent with a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NotSpent {
+pub enum PermitError {
     /// The time to use it is over, as after a suspension of this host.
     #[error("the permit was not used in time")]
     Expired,
@@ -68,12 +68,12 @@
     /// Uses it up: the request is sent now.
     ///
     /// # Errors
-    /// [`NotSpent`] when the time to use it is over, or the server leaves or rests by now.
-    pub fn spend(mut self) -> Result<Choice, NotSpent> {
+    /// [`PermitError`] when the time to use it is over, or the server leaves or rests by now.
+    pub fn consume(mut self) -> Result<Choice, PermitError> {
         self.hints.check_open(&self.choice)?;
         let lease = self.lease.take();
         let is_over = lease.is_some_and(|until| self.hints.fleet.base.clock.now() >= until);
-        if is_over { Err(NotSpent::Expired) } else { Ok(self.choice.clone()) }
+        if is_over { Err(PermitError::Expired) } else { Ok(self.choice.clone()) }
     }
 }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// [`NoPermit`] when none is to be had now.
-    pub async fn permit(
+    pub async fn acquire_permit(
         self: &Arc<Self>,
         log: &Logger,
         choice: Choice,
@@ -195,7 +195,7 @@
     /// Asks the first issuer that answers; tells its name.
     async fn ask(self: &Arc<Self>, fact: LimitFact, wish: PermitRequest) -> (String, PermitAnswer) {
         if self.fleet.size().is_none() {
-            return ("unknown fleet".to_owned(), PermitAnswer::none(NOBODY_MS));
+            return ("unknown fleet".to_owned(), PermitAnswer::denied(NOBODY_MS));
         }
         for issuer in self.issuers(&fact.server) {
             let Some(peer) = issuer else {
@@ -207,16 +207,16 @@
             match self.ask_peer(&peer, &fact, wish).await {
                 Some(answer) => {
                     if let Some(fact) = &answer.newer {
-                        self.told_limits(std::slice::from_ref(fact));
+                        self.merge_limits(std::slice::from_ref(fact));
                     }
                     return (peer.name.to_string(), answer);
                 }
                 None => self.fell_silent(&peer),
             }
             // A request waits for one answer at the most.
-            return (peer.name.to_string(), PermitAnswer::none(NOBODY_MS));
+            return (peer.name.to_string(), PermitAnswer::denied(NOBODY_MS));
         }
-        ("nobody".to_owned(), PermitAnswer::none(NOBODY_MS))
+        ("nobody".to_owned(), PermitAnswer::denied(NOBODY_MS))
     }
 
     async fn ask_peer(
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -150,7 +150,7 @@
 fn take_in(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     hall_sync::heard(&membership.view, &heartbeat.evacuated);
     membership.crashes.heard_digest(&heartbeat.address, heartbeat.crashes_digest);
-    membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
+    membership.hints.pull_if_digest_differs(&heartbeat.address, heartbeat.hints_digest);
     membership.fleet.members.lock().record_heartbeat(membership.fleet.base.clock.now(), heartbeat);
     membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -160,7 +160,7 @@
     }
 
     async fn told_hints(self, _: Context, facts: Vec<HintFact>) {
-        self.daemon.hints.told(&facts);
+        self.daemon.hints.merge_facts(&facts);
     }
 
     async fn hint_facts(self, _: Context) -> Vec<HintFact> {
