--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,10 +1,10 @@
-//! Shell around what backend servers say of themselves (core `hints` and `limits`): that they
-//! leave, that they want rest, and how many requests a second they take.
+//! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
+//! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` is the one gate on the way to a server, `observe` takes in the heads of answers,
-//! `issue` hands out permits to peers, and `gossip` tells them what is new. May call peers, and
-//! what is known of the fleet and the servers; called by the sides for callers, by heartbeats
-//! and by `peer_server`.
+//! `permit` is checked before each request to a server, `observe` records response headers and
+//! facts from peers, `issue` issues permits to peers, and `gossip` sends new facts to peers. This
+//! module may call peers and use the state of the fleet and of the servers. It is called by the
+//! callers' interfaces, by heartbeats and by `peer_server`.
 
 pub mod gossip;
 mod issue;
@@ -27,76 +27,79 @@
 use crate::fleet::Fleet;
 use crate::fleet::ask_pause::AskPause;
 
-/// Changes that wait to be told to peers; what is left out is brought by heartbeats.
-const MOST_NEWS: usize = 4_096;
+/// Capacity of the queue of facts to send to peers. Facts that don't fit reach peers by heartbeats.
+const FACT_QUEUE_CAPACITY: usize = 4_096;
 
-/// Callers a second that one daemon tells to come back for each server that rests: each rest
-/// concerns one daemon's requests alone, so that others don't add to them.
-const RETURNS_PER_S: f64 = 20.0;
+/// Rate at which one daemon schedules retries for each resting server, in callers per second. A
+/// rest concerns the requests of one daemon only, so the rates of several daemons don't add up.
+const RETRIES_PER_RESTING_SERVER_S: f64 = 20.0;
 
-/// What servers have said, as this daemon knows and keeps it. Who leaves or rests is kept by the
+/// Signals of servers as known to this daemon. Leaving and resting servers are recorded in the
 /// router.
 #[derive(Debug)]
 pub struct Hints {
     fleet: Fleet,
     router: Arc<Mutex<Router>>,
-    book: Mutex<LimitTracker>,
+    limits: Mutex<LimitTracker>,
     issuer: Mutex<Issuer>,
     leases: Mutex<Leases>,
-    returns: Mutex<RetrySchedule>,
-    /// Who is in the fleet, as [`bankcove_core::members::Members::digest`], and since when.
-    known_as: Mutex<(u64, Millis)>,
-    /// Issuers that did not answer are passed over until then.
-    silent: Mutex<HashMap<Name, Millis>>,
-    /// Servers of which a hint could not be read; each is logged once.
+    retry_schedule: Mutex<RetrySchedule>,
+    /// Last [`bankcove_core::members::Members::digest`], and since when it is the current one.
+    membership: Mutex<(u64, Millis)>,
+    /// Issuers that did not answer, and the times until which they are skipped.
+    unresponsive: Mutex<HashMap<Name, Millis>>,
+    /// Servers with a hint that could not be parsed, which is logged once for each server.
     unreadable: Mutex<HashMap<ServerStart, String>>,
-    /// Set once a limit is known, so that the common path skips the lock.
+    /// Set while limits are known; otherwise the common path skips the lock.
     has_limits: AtomicBool,
-    /// Set once a server leaves or rests, so that the common path skips the lock.
+    /// Set while servers are leaving or resting; otherwise the common path skips the lock.
     has_closed: AtomicBool,
     /// [`LimitTracker::digest`] after the last change.
     limits_digest: AtomicU64,
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
-    /// When the facts of a peer were last asked for.
-    asked: AskPause,
-    news: mpsc::Sender<HintFact>,
-    to_tell: Mutex<Option<mpsc::Receiver<HintFact>>>,
+    /// Limits how often facts are requested from peers.
+    pull_pause: AskPause,
+    /// Queue of facts to send to peers.
+    fact_queue: mpsc::Sender<HintFact>,
+    /// Receiver of that queue; taken by [`gossip::spawn_gossip`].
+    fact_receiver: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
 
 impl Hints {
-    /// Nothing is known.
+    /// Creates the state without any signals.
     pub fn new(fleet: Fleet, router: Arc<Mutex<Router>>) -> Self {
-        let (news, to_tell) = mpsc::channel(MOST_NEWS);
+        let (fact_queue, fact_receiver) = mpsc::channel(FACT_QUEUE_CAPACITY);
         Hints {
             fleet,
             router,
-            book: Mutex::default(),
+            limits: Mutex::default(),
             issuer: Mutex::default(),
             leases: Mutex::default(),
-            returns: Mutex::default(),
-            known_as: Mutex::default(),
-            silent: Mutex::default(),
+            retry_schedule: Mutex::default(),
+            membership: Mutex::default(),
+            unresponsive: Mutex::default(),
             unreadable: Mutex::default(),
             has_limits: AtomicBool::new(false),
             has_closed: AtomicBool::new(false),
             limits_digest: AtomicU64::new(0),
             leaving_digest: AtomicU64::new(0),
-            asked: AskPause::default(),
-            news,
-            to_tell: Mutex::new(Some(to_tell)),
+            pull_pause: AskPause::default(),
+            fact_queue,
+            fact_receiver: Mutex::new(Some(fact_receiver)),
         }
     }
 
+    /// Changes the known limits.
     fn change_limits<T>(&self, change: impl FnOnce(&mut LimitTracker) -> T) -> T {
-        let mut book = self.book.lock();
-        let changed = change(&mut book);
-        self.has_limits.store(!book.is_empty(), Ordering::Relaxed);
-        self.limits_digest.store(book.digest(), Ordering::Relaxed);
+        let mut limits = self.limits.lock();
+        let changed = change(&mut limits);
+        self.has_limits.store(!limits.is_empty(), Ordering::Relaxed);
+        self.limits_digest.store(limits.digest(), Ordering::Relaxed);
         changed
     }
 
-    /// Changes who leaves or rests.
+    /// Changes which servers are leaving or resting.
     fn change_closed<T>(&self, change: impl FnOnce(&mut Router) -> T) -> T {
         let mut router = self.router.lock();
         let changed = change(&mut router);
@@ -105,52 +108,51 @@
         changed
     }
 
-    /// Peers are to be told this.
-    fn tell(&self, fact: HintFact) {
-        if self.news.try_send(fact).is_err() {
+    /// Queues a fact to be sent to peers; drops it when the queue is full.
+    fn queue_fact(&self, fact: HintFact) {
+        if self.fact_queue.try_send(fact).is_err() {
             self.fleet.base.metrics.count("hint.not_told");
         }
     }
 
-    /// The same answer to a caller whose servers are all at their limits or rest, with its own
-    /// turn to come back: callers come one after the other.
+    /// Replaces the retry delay of a caller whose servers are all at their limits or resting by the
+    /// next free one, so that callers return one after the other.
     pub fn schedule_retry(&self, service: &Name, why: NoServer) -> NoServer {
         match why {
             NoServer::OnlyLimited(at_limit) => {
                 let daemons = self.fleet.members.lock().usable().count() + 1;
                 let per_second = at_limit.per_second / daemons as f64;
-                let first_ms = self.next_return(service, at_limit.first_ms, per_second);
+                let first_ms = self.next_retry_delay(service, at_limit.first_ms, per_second);
                 NoServer::OnlyLimited(AtLimit { first_ms, ..at_limit })
             }
             NoServer::OnlyResting(resting) => {
-                let per_second = RETURNS_PER_S * resting.servers as f64;
-                let first_ms = self.next_return(service, resting.first_ms, per_second);
+                let per_second = RETRIES_PER_RESTING_SERVER_S * resting.servers as f64;
+                let first_ms = self.next_retry_delay(service, resting.first_ms, per_second);
                 NoServer::OnlyResting(Resting { first_ms, ..resting })
             }
             other => other,
         }
     }
 
-    fn next_return(&self, service: &Name, first_ms: Millis, per_second: f64) -> Millis {
+    fn next_retry_delay(&self, service: &Name, first_ms: Millis, per_second: f64) -> Millis {
         let now = self.fleet.base.clock.now();
-        self.returns.lock().next_delay(now, service, first_ms, per_second, rand::random())
+        self.retry_schedule.lock().next_delay(now, service, first_ms, per_second, rand::random())
     }
 
-    /// Since when the fleet is as it is.
-    fn fleet_since(&self) -> Millis {
+    /// Returns since when the membership of the fleet is the current one.
+    fn membership_since(&self) -> Millis {
         let digest = self.fleet.members.lock().digest();
         let now = self.fleet.base.clock.now();
-        let mut known_as = self.known_as.lock();
-        if known_as.0 != digest {
-            *known_as = (digest, now);
+        let mut membership = self.membership.lock();
+        if membership.0 != digest {
+            *membership = (digest, now);
         }
-        known_as.1
+        membership.1
     }
 
-    /// Forgets what servers have said that are gone, limits that were lifted and rests that are
-    /// over.
+    /// Drops signals of servers that are no longer listed, lifted limits and rests that have ended.
     pub fn forget_old(&self) {
-        self.fleet_since();
+        self.membership_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
             self.change_closed(|router| router.expire_closed(now));
@@ -162,18 +164,18 @@
             let router = self.router.lock();
             router.servers().iter().map(|view| view.start()).collect()
         };
-        self.change_limits(|book| book.forget_old(now, |server| listed.contains(server)));
-        let is_limited = |server: &ServerStart| self.book.lock().limit(server).is_some();
+        self.change_limits(|limits| limits.forget_old(now, |server| listed.contains(server)));
+        let is_limited = |server: &ServerStart| self.limits.lock().limit(server).is_some();
         self.issuer.lock().retain(is_limited);
         self.leases.lock().retain(is_limited);
-        self.silent.lock().retain(|_, until| now < *until);
+        self.unresponsive.lock().retain(|_, until| now < *until);
         self.unreadable.lock().retain(|server, _| listed.contains(server));
     }
 
-    /// Each limited server, for people.
+    /// Returns the servers with a limit and their permits as JSON, for operators.
     pub fn dump(&self) -> Value {
         let now = self.fleet.base.clock.now();
-        let facts = self.book.lock().facts(now, usize::MAX, 0);
+        let facts = self.limits.lock().facts(now, usize::MAX, 0);
         let levels: HashMap<ServerStart, (usize, f64)> = {
             let issuer = self.issuer.lock();
             issuer.levels().map(|(server, rank, left)| (server.clone(), (rank, left))).collect()
--- a/crates/daemon/src/hints/issue.rs
+++ b/crates/daemon/src/hints/issue.rs
@@ -1,4 +1,4 @@
-//! Issues permits to peers and to this daemon itself.
+//! Issues permits to peers and to this daemon.
 
 use bankcove_core::Millis;
 use bankcove_core::limits::{Issued, IssuerPosition, LimitFact, PermitRequest};
@@ -7,7 +7,7 @@
 use crate::peer::PermitAnswer;
 
 impl PermitAnswer {
-    /// No permit; when it is worth asking again.
+    /// Creates an answer without a permit; the next request may follow after `retry_ms`.
     pub fn denied(retry_ms: Millis) -> Self {
         let issued = Issued { permits: 0, retry_ms };
         PermitAnswer { issued, is_free: false, newer: None }
@@ -15,21 +15,21 @@
 }
 
 impl Hints {
-    /// Issues permits for the server that the asker knows this of.
-    pub fn issue(&self, fact: &LimitFact, wish: PermitRequest) -> PermitAnswer {
+    /// Issues permits for a server. `fact` is the server's limit as known to the requesting daemon.
+    pub fn issue(&self, fact: &LimitFact, request: PermitRequest) -> PermitAnswer {
         self.merge_limits(std::slice::from_ref(fact));
         let now = self.fleet.base.clock.now();
-        let known = self.book.lock().fact(now, &fact.server);
+        let known = self.limits.lock().fact(now, &fact.server);
         let newer = known.clone().filter(|known| known.limit != fact.limit);
         let Some(limit) = known.and_then(|known| known.limit) else {
             let issued = Issued { permits: 0, retry_ms: 0 };
             return PermitAnswer { issued, is_free: true, newer };
         };
-        // A daemon that takes itself for alone would rank first for every server.
+        // A daemon that does not know the other members would rank first for every server.
         let rank = self.issuers(&fact.server).iter().position(Option::is_none);
         let rank = rank.filter(|_| self.fleet.size().is_some()).unwrap_or(usize::MAX);
-        let place = IssuerPosition { rank, since: self.fleet_since() };
-        let issued = self.issuer.lock().issue(now, &fact.server, limit, place, wish);
+        let position = IssuerPosition { rank, since: self.membership_since() };
+        let issued = self.issuer.lock().issue(now, &fact.server, limit, position, request);
         PermitAnswer { issued, is_free: false, newer }
     }
 }
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -1,4 +1,4 @@
-//! Takes in what servers say in the heads of their answers, and what peers tell of it.
+//! Records the signals in response headers of servers, and merges those received from peers.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +10,7 @@
 
 use crate::hints::Hints;
 
-/// Who told of it.
+/// Origin of a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
     /// The server itself.
@@ -29,20 +29,21 @@
 }
 
 impl Hints {
-    /// Takes in the head of an answer of this start of a server, to a request that was sent at
-    /// `asked_at`; `log` tells the request.
+    /// Records the signals of a response of this start of a server to a request that was sent at
+    /// `sent_at`. `log` adds the request's id.
     pub fn observe(
         &self,
         log: &Logger,
         server: &ServerStart,
-        asked_at: Millis,
+        sent_at: Millis,
         hints: &ServerHints,
     ) {
-        self.observe_limit(server, asked_at, &hints.limit);
+        self.observe_limit(server, sent_at, &hints.limit);
         self.observe_closed(log, server, hints);
     }
 
-    /// The same, of an answer to what is no request, in which no limit is named.
+    /// Records only leaving and rest. It is used for responses that don't answer a request of a
+    /// caller, which announce no limit.
     pub fn observe_closed(&self, log: &Logger, server: &ServerStart, hints: &ServerHints) {
         match &hints.leaving {
             Hint::Absent => {}
@@ -59,7 +60,7 @@
     fn observe_leaving(&self, server: &ServerStart) {
         let now = self.fleet.base.clock.now();
         if let Some(fact) = self.change_closed(|router| router.observe_leaving(now, server)) {
-            self.take_leaving(fact, Source::Server);
+            self.apply_leaving(fact, Source::Server);
         }
     }
 
@@ -73,21 +74,22 @@
             "server" => %server.name, "started_ms" => server.started_ms, "rest_ms" => rest_ms);
     }
 
-    fn observe_limit(&self, server: &ServerStart, asked_at: Millis, word: &LimitHeader) {
-        if let LimitHeader::Malformed(text) = word {
+    fn observe_limit(&self, server: &ServerStart, sent_at: Millis, header: &LimitHeader) {
+        if let LimitHeader::Malformed(text) = header {
             self.log_unreadable(server, "limit", text);
         }
-        if *word == LimitHeader::Absent && !self.has_limits.load(Ordering::Relaxed) {
+        if *header == LimitHeader::Absent && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
         let now = self.fleet.base.clock.now();
-        let change = self.change_limits(|book| book.record_response(now, server, asked_at, word));
+        let change =
+            self.change_limits(|limits| limits.record_response(now, server, sent_at, header));
         if let Some(change) = change {
-            self.take_change(&change, Source::Server);
+            self.apply_limit_change(&change, Source::Server);
         }
     }
 
-    /// Takes in what a peer has told.
+    /// Merges facts received from a peer.
     pub fn merge_facts(&self, facts: &[HintFact]) {
         let (mut limits, mut leaving) = (Vec::new(), Vec::new());
         for fact in facts {
@@ -104,54 +106,56 @@
         }
     }
 
-    /// Takes in limits that a peer has told.
+    /// Merges limits received from a peer.
     pub(super) fn merge_limits(&self, facts: &[LimitFact]) {
         let now = self.fleet.base.clock.now();
-        for change in &self.change_limits(|book| book.merge(now, facts)) {
-            self.take_change(change, Source::Peer);
+        for change in &self.change_limits(|limits| limits.merge(now, facts)) {
+            self.apply_limit_change(change, Source::Peer);
         }
     }
 
     fn merge_leaving(&self, facts: &[LeavingFact]) {
         let now = self.fleet.base.clock.now();
         for fact in self.change_closed(|router| router.merge_leaving(now, facts)) {
-            self.take_leaving(fact, Source::Peer);
+            self.apply_leaving(fact, Source::Peer);
         }
     }
 
-    fn take_leaving(&self, fact: LeavingFact, source: Source) {
+    /// Logs, counts and queues for peers that a server is leaving.
+    fn apply_leaving(&self, fact: LeavingFact, source: Source) {
         self.fleet.base.metrics.count("server.leaves");
         slog::info!(self.fleet.base.log, "server leaves";
             "server" => %fact.server.name, "started_ms" => fact.server.started_ms,
             "age_ms" => fact.age_ms, "from" => source.name());
-        self.tell(HintFact::Leaving(fact));
+        self.queue_fact(HintFact::Leaving(fact));
     }
 
-    /// What changed is put to the router, logged, and told to peers.
-    fn take_change(&self, change: &LimitChange, source: Source) {
+    /// Applies a changed limit to the router, logs it and queues it for peers.
+    fn apply_limit_change(&self, change: &LimitChange, source: Source) {
         let LimitChange { before, fact } = change;
         let now = self.fleet.base.clock.now();
         let (before, after) =
             (before.map(|rate| rate.per_second()), fact.limit.map(|rate| rate.per_second()));
         self.router.lock().set_rate_limit(now, &fact.server, after);
-        let what = match (before, after) {
+        let message = match (before, after) {
             (None, _) => "limit heard",
             (Some(_), Some(_)) => "limit changed",
             (Some(_), None) => "limit lifted",
         };
         self.fleet.base.metrics.count(if after.is_some() { "limit.named" } else { "limit.lifted" });
-        slog::info!(self.fleet.base.log, "{}", what;
+        slog::info!(self.fleet.base.log, "{}", message;
             "server" => %fact.server.name, "started_ms" => fact.server.started_ms,
             "before_per_s" => before, "per_s" => after, "age_ms" => fact.received_age_ms,
             "from" => source.name());
-        self.tell(HintFact::Limit(fact.clone()));
+        self.queue_fact(HintFact::Limit(fact.clone()));
     }
 
+    /// Logs and counts a hint that could not be parsed, once for each server.
     fn log_unreadable(&self, server: &ServerStart, hint: &'static str, text: &str) {
         let before = self.unreadable.lock().insert(server.clone(), text.to_owned());
         if before.is_none() {
             self.fleet.base.metrics.count("hint.unreadable");
-            slog::warn!(self.fleet.base.log, "server hint can't be read and changes nothing";
+            slog::warn!(self.fleet.base.log, "ignoring an unreadable server hint";
                 "server" => %server.name, "started_ms" => server.started_ms,
                 "hint" => hint, "said" => text);
         }
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -1,4 +1,4 @@
-//! The one gate on the way to a backend server: what is sent there takes a permit along.
+//! Permits to send requests to backend servers. Every request needs one.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,41 +15,41 @@
 use crate::hints::Hints;
 use crate::peer::{PeerServiceClient, PermitAnswer};
 
-/// Longest wait for a peer's permits: a request of a caller waits for them.
-const ASK_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout for requesting permits from a peer, for which a caller's request waits.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long an issuer that did not answer is passed over, in milliseconds.
-const SILENT_MS: Millis = 1_000;
+/// Time for which an issuer that did not answer is skipped, in milliseconds.
+const UNRESPONSIVE_MS: Millis = 1_000;
 
-/// How long a server is passed over for want of anybody to ask, in milliseconds.
-const NOBODY_MS: Millis = 200;
+/// Time for which a server is skipped when no issuer can be asked, in milliseconds.
+const NO_ISSUER_RETRY_MS: Millis = 200;
 
-/// Leave to send one request to the server that was chosen. Dropped unused it goes back.
+/// Permit to send one request to the chosen server. It is given back if dropped unused.
 #[derive(Debug)]
 pub struct Permit {
     choice: Choice,
     hints: Arc<Hints>,
-    /// Until when it may be used and has to be given back; none where no limit binds.
-    lease: Option<Millis>,
+    /// Its expiry time; `None` if the server has no limit.
+    expires_at: Option<Millis>,
 }
 
-/// Why nothing was sent with a permit.
+/// Reason for which a permit could not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PermitError {
-    /// The time to use it is over, as after a suspension of this host.
+    /// It has expired, e.g. because this host was suspended.
     #[error("the permit was not used in time")]
     Expired,
-    /// The server has said something since.
+    /// The server has announced meanwhile that it is leaving or asked for rest.
     #[error(transparent)]
     Closed(#[from] Closed),
 }
 
-/// Why there is no permit for a server now.
+/// Reason for which no permit for a server is available.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NoPermit {
-    /// It takes no more than its limit.
+    /// The server is at its limit.
     AtLimit(AtLimit),
-    /// It leaves or rests.
+    /// The server is leaving or resting.
     Closed(Closed),
 }
 
@@ -60,26 +60,26 @@
 }
 
 impl Permit {
-    /// The server.
+    /// Returns the chosen server.
     pub fn choice(&self) -> &Choice {
         &self.choice
     }
 
-    /// Uses it up: the request is sent now.
+    /// Uses the permit, immediately before the request is sent.
     ///
     /// # Errors
-    /// [`PermitError`] when the time to use it is over, or the server leaves or rests by now.
+    /// [`PermitError`] when the permit has expired, or the server is leaving or resting by now.
     pub fn consume(mut self) -> Result<Choice, PermitError> {
         self.hints.check_open(&self.choice)?;
-        let lease = self.lease.take();
-        let is_over = lease.is_some_and(|until| self.hints.fleet.base.clock.now() >= until);
-        if is_over { Err(PermitError::Expired) } else { Ok(self.choice.clone()) }
+        let expires_at = self.expires_at.take();
+        let is_expired = expires_at.is_some_and(|until| self.hints.fleet.base.clock.now() >= until);
+        if is_expired { Err(PermitError::Expired) } else { Ok(self.choice.clone()) }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(until) = self.lease.take() {
+        if let Some(until) = self.expires_at.take() {
             let now = self.hints.fleet.base.clock.now();
             self.hints.leases.lock().give_back(now, &self.choice.start(), until);
         }
@@ -87,7 +87,7 @@
 }
 
 impl Hints {
-    /// Whether the server that was chosen neither leaves nor rests.
+    /// Checks that the chosen server is neither leaving nor resting.
     fn check_open(&self, choice: &Choice) -> Result<(), Closed> {
         if !self.has_closed.load(Ordering::Relaxed) {
             return Ok(());
@@ -100,11 +100,11 @@
         checked
     }
 
-    /// Takes a permit for the server that was chosen; `log` tells the request, `urgency` is 0
-    /// for the most urgent. A server without a permit is not chosen again for a while.
+    /// Acquires a permit for the chosen server. `log` adds the request's id; an `urgency` of 0 is
+    /// the most urgent. A server without a permit is not chosen again for some time.
     ///
     /// # Errors
-    /// [`NoPermit`] when none is to be had now.
+    /// [`NoPermit`] when no permit is available now.
     pub async fn acquire_permit(
         self: &Arc<Self>,
         log: &Logger,
@@ -116,37 +116,37 @@
             return Err(NoPermit::Closed(closed));
         }
         if !self.has_limits.load(Ordering::Relaxed) {
-            return Ok(self.unlimited(choice));
+            return Ok(self.unlimited_permit(choice));
         }
         let server = choice.start();
         let now = self.fleet.base.clock.now();
-        let fact = self.book.lock().fact(now, &server);
+        let fact = self.limits.lock().fact(now, &server);
         let Some((fact, limit)) = fact.and_then(|fact| fact.limit.map(|limit| (fact, limit)))
         else {
-            return Ok(self.unlimited(choice));
+            return Ok(self.unlimited_permit(choice));
         };
-        let held = self.leases.lock().take(now, &server);
-        if let Some(until) = held {
-            return Ok(self.leased(choice, until));
+        let expires_at = self.leases.lock().take(now, &server);
+        if let Some(until) = expires_at {
+            return Ok(self.leased_permit(choice, until));
         }
-        let (issuer, answer) = self.ask_for_some(now, &fact, limit, urgency).await;
+        let (issuer, answer) = self.request_permits(now, &fact, limit, urgency).await;
         if answer.is_free {
-            return Ok(self.unlimited(choice));
+            return Ok(self.unlimited_permit(choice));
         }
         if let Some(until) = self.take_issued(now, &server, answer.issued.permits) {
             self.router.lock().block_for_rate_limit(&server, limit.per_second(), 0);
-            return Ok(self.leased(choice, until));
+            return Ok(self.leased_permit(choice, until));
         }
-        let at_limit = self.pass_over(&server, limit, answer.issued.retry_ms);
+        let at_limit = self.block_at_limit(&server, limit, answer.issued.retry_ms);
         slog::info!(log, "server at its limit";
             "server" => %server.name, "per_s" => limit.per_second(), "issuer" => issuer,
             "retry_ms" => at_limit.first_ms, "heard_ms_ago" => fact.received_age_ms);
         Err(at_limit.into())
     }
 
-    /// Asks for a permit, and for as many more as are of use. Where permits are scarce, others
-    /// pass the server over meanwhile.
-    async fn ask_for_some(
+    /// Requests permits: one, and as many more as can be used. While permits are scarce, other
+    /// requests skip the server until the answer is received.
+    async fn request_permits(
         self: &Arc<Self>,
         now: Millis,
         fact: &LimitFact,
@@ -155,27 +155,39 @@
     ) -> (String, PermitAnswer) {
         let is_scarce = self.leases.lock().is_scarce(now, &fact.server);
         if is_scarce {
-            let until = now + ASK_TIMEOUT.as_millis() as Millis;
+            let until = now + PERMIT_TIMEOUT.as_millis() as Millis;
             self.router.lock().block_for_rate_limit(&fact.server, limit.per_second(), until);
         }
         let permits = self.leases.lock().permits_to_request(now, &fact.server);
-        let wish = PermitRequest { from: self.fleet.base.incarnation, permits, urgency };
-        self.ask(fact.clone(), wish).await
+        let request = PermitRequest { from: self.fleet.base.incarnation, permits, urgency };
+        self.ask_issuers(fact.clone(), request).await
     }
 
-    /// Takes one of the permits that were asked for at `asked_at`; until when it may be used.
-    fn take_issued(&self, asked_at: Millis, server: &ServerStart, permits: u32) -> Option<Millis> {
+    /// Stores permits that were requested at `requested_at` and takes one of them; returns its
+    /// expiry time.
+    fn take_issued(
+        &self,
+        requested_at: Millis,
+        server: &ServerStart,
+        permits: u32,
+    ) -> Option<Millis> {
         if permits == 0 {
             return None;
         }
         self.fleet.base.metrics.add("limit.permits", u64::from(permits));
         let now = self.fleet.base.clock.now();
         let mut leases = self.leases.lock();
-        leases.add(asked_at, server, permits);
+        leases.add(requested_at, server, permits);
         leases.take(now, server)
     }
 
-    fn pass_over(&self, server: &ServerStart, limit: RequestRate, retry_ms: Millis) -> AtLimit {
+    /// Stops sending to a server for `retry_ms`, because no permit was issued for it.
+    fn block_at_limit(
+        &self,
+        server: &ServerStart,
+        limit: RequestRate,
+        retry_ms: Millis,
+    ) -> AtLimit {
         let now = self.fleet.base.clock.now();
         self.leases.lock().record_denial(now, server);
         let (first_ms, per_second) = (retry_ms.max(1), limit.per_second());
@@ -184,66 +196,72 @@
         AtLimit { first_ms, per_second }
     }
 
-    fn unlimited(self: &Arc<Self>, choice: Choice) -> Permit {
-        Permit { choice, hints: Arc::clone(self), lease: None }
+    fn unlimited_permit(self: &Arc<Self>, choice: Choice) -> Permit {
+        Permit { choice, hints: Arc::clone(self), expires_at: None }
     }
 
-    fn leased(self: &Arc<Self>, choice: Choice, until: Millis) -> Permit {
-        Permit { choice, hints: Arc::clone(self), lease: Some(until) }
+    fn leased_permit(self: &Arc<Self>, choice: Choice, until: Millis) -> Permit {
+        Permit { choice, hints: Arc::clone(self), expires_at: Some(until) }
     }
 
-    /// Asks the first issuer that answers; tells its name.
-    async fn ask(self: &Arc<Self>, fact: LimitFact, wish: PermitRequest) -> (String, PermitAnswer) {
+    /// Requests permits from the first issuer that is not known to be unresponsive. Returns the
+    /// issuer's name and its answer.
+    async fn ask_issuers(
+        self: &Arc<Self>,
+        fact: LimitFact,
+        request: PermitRequest,
+    ) -> (String, PermitAnswer) {
         if self.fleet.size().is_none() {
-            return ("unknown fleet".to_owned(), PermitAnswer::denied(NOBODY_MS));
+            return ("unknown fleet".to_owned(), PermitAnswer::denied(NO_ISSUER_RETRY_MS));
         }
         for issuer in self.issuers(&fact.server) {
             let Some(peer) = issuer else {
-                return ("here".to_owned(), self.issue(&fact, wish));
+                return ("here".to_owned(), self.issue(&fact, request));
             };
-            if self.is_silent(&peer) {
+            if self.is_unresponsive(&peer) {
                 continue;
             }
-            match self.ask_peer(&peer, &fact, wish).await {
+            match self.ask_peer(&peer, &fact, request).await {
                 Some(answer) => {
                     if let Some(fact) = &answer.newer {
                         self.merge_limits(std::slice::from_ref(fact));
                     }
                     return (peer.name.to_string(), answer);
                 }
-                None => self.fell_silent(&peer),
+                None => self.mark_unresponsive(&peer),
             }
-            // A request waits for one answer at the most.
-            return (peer.name.to_string(), PermitAnswer::denied(NOBODY_MS));
+            // A request waits for at most one issuer.
+            return (peer.name.to_string(), PermitAnswer::denied(NO_ISSUER_RETRY_MS));
         }
-        ("nobody".to_owned(), PermitAnswer::denied(NOBODY_MS))
+        ("nobody".to_owned(), PermitAnswer::denied(NO_ISSUER_RETRY_MS))
     }
 
     async fn ask_peer(
         &self,
         peer: &Peer,
         fact: &LimitFact,
-        wish: PermitRequest,
+        request: PermitRequest,
     ) -> Option<PermitAnswer> {
         let fact = fact.clone();
-        let ask =
-            |client: PeerServiceClient, cx| async move { client.permits(cx, fact, wish).await };
-        self.fleet.base.peers.call(&peer.address, ASK_TIMEOUT, ask).await
+        let call =
+            |client: PeerServiceClient, cx| async move { client.permits(cx, fact, request).await };
+        self.fleet.base.peers.call(&peer.address, PERMIT_TIMEOUT, call).await
     }
 
-    /// Who issues permits for the server, in order; none stands for this daemon.
+    /// Returns the issuers of permits for the server, by rank; `None` stands for this daemon.
     pub(super) fn issuers(&self, server: &ServerStart) -> Vec<Option<Peer>> {
         self.fleet.members.lock().owners_including_silent(server.key(), ISSUERS_PER_SERVER)
     }
 
-    fn is_silent(&self, peer: &Peer) -> bool {
+    fn is_unresponsive(&self, peer: &Peer) -> bool {
         let now = self.fleet.base.clock.now();
-        self.silent.lock().get(&peer.name).is_some_and(|until| now < *until)
+        self.unresponsive.lock().get(&peer.name).is_some_and(|until| now < *until)
     }
 
-    fn fell_silent(&self, peer: &Peer) {
-        let until = self.fleet.base.clock.now() + SILENT_MS;
-        self.silent.lock().insert(peer.name.clone(), until);
+    /// Marks an issuer that did not answer; it is skipped for [`UNRESPONSIVE_MS`].
+    fn mark_unresponsive(&self, peer: &Peer) {
+        let until = self.fleet.base.clock.now() + UNRESPONSIVE_MS;
+        self.unresponsive.lock().insert(peer.name.clone(), until);
         self.fleet.base.metrics.count("limit.issuer_silent");
         slog::info!(self.fleet.base.log, "issuer of permits does not answer"; "peer" => %peer.name);
     }
