--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -22,7 +22,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Leaves the platform's load balancer and waits for requests in flight; returns whether all of
-/// them ended before `grace` minus [`TOKEN_RETURN_TIME`]. Free tokens of the budgets are given back
+/// them ended before `grace` minus `TOKEN_RETURN_TIME`. Free tokens of the budgets are given back
 /// in the meantime.
 pub async fn drain(requests: &Arc<Requests>, grace: Duration) -> bool {
     let clock = &requests.base.clock;
--- a/crates/daemon/src/hints/gossip.rs
+++ b/crates/daemon/src/hints/gossip.rs
@@ -84,7 +84,7 @@
 }
 
 impl Hints {
-    /// Returns the known facts for a peer: at most [`MAX_PULLED_FACTS`] of each kind, from a random
+    /// Returns the known facts for a peer: at most `MAX_PULLED_FACTS` of each kind, from a random
     /// offset on.
     pub fn facts(&self) -> Vec<HintFact> {
         let now = self.fleet.base.clock.now();
@@ -101,7 +101,7 @@
     }
 
     /// Compares the digest in a peer's heartbeat with this daemon's; if they differ, requests the
-    /// peer's facts and merges them, at most once in [`PULL_INTERVAL_MS`].
+    /// peer's facts and merges them, at most once in `PULL_INTERVAL_MS`.
     pub fn pull_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
         if peer_digest == self.digest() {
             return;
