--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -157,7 +157,7 @@
         tokio::spawn(persistence::persist_blocks(Arc::clone(&daemon.crashes)));
         tokio::spawn(Arc::clone(&daemon.crashes).decide());
         tokio::spawn(Arc::clone(&daemon.crashes).send_updates());
-        hints::spread::spawn_tell(&daemon.hints);
+        hints::gossip::spawn_gossip(&daemon.hints);
         tokio::spawn(suspension::watch(daemon.fleet.clone()));
         tokio::spawn(table_sync::watch(Arc::clone(&daemon.view)));
         tokio::spawn(server_sync::watch(Arc::clone(&daemon.view)));
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -156,7 +156,7 @@
 fn merge_heartbeat(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     hall_sync::merge_from_peer(&membership.view, &heartbeat.evacuated);
     membership.crashes.compare_digest(&heartbeat.address, heartbeat.crashes_digest);
-    membership.hints.heard_digest(&heartbeat.address, heartbeat.hints_digest);
+    membership.hints.pull_if_digest_differs(&heartbeat.address, heartbeat.hints_digest);
     membership.fleet.members.lock().record_heartbeat(membership.fleet.base.clock.now(), heartbeat);
     membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
