--- a/crates/cli/src/controller.rs
+++ b/crates/cli/src/controller.rs
@@ -65,9 +65,9 @@
     };
     if matches!(command, KeyCommand::New) {
         println!("key    {key}");
-        println!("sha256 {}", bankcoved::identity::hash_key(&key));
+        println!("sha256 {}", bankcoved::auth::hash_key(&key));
     } else {
-        println!("{}", bankcoved::identity::hash_key(&key));
+        println!("{}", bankcoved::auth::hash_key(&key));
     }
     Ok(())
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -97,7 +97,7 @@
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         line.map(|rest| rest.trim().to_owned()).expect("the line is printed")
     };
-    assert_eq!(bankcoved::identity::hash_key(&value("key")), value("sha256"));
+    assert_eq!(bankcoved::auth::hash_key(&value("key")), value("sha256"));
 }
 
 /// Three requests of some tens of tokens are all that the demo spends of 40 million.
--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -11,10 +11,10 @@
 use salvo::prelude::*;
 
 use crate::api::Api;
-use crate::api::answer::{Fate, Problem};
+use crate::api::response::{ErrorResponse, RequestOutcome};
+use crate::auth::hash_key;
 use crate::bill::request_log;
 use crate::budget::reserve::reserve;
-use crate::identity::hash_key;
 use crate::peer::Refusal;
 
 /// Header that names a budget other than the workspace's own.
@@ -45,22 +45,22 @@
     /// The request.
     pub request: RequestHash,
     /// Whether the caller says that the request may not run twice.
-    pub once: bool,
+    pub at_most_once: bool,
 }
 
 /// Reads who calls.
 ///
 /// # Errors
 /// The answer for a caller that may not go on.
-pub fn identify(api: &Api, req: &Request) -> Result<Caller, Problem> {
+pub fn identify_caller(api: &Api, req: &Request) -> Result<Caller, ErrorResponse> {
     if api.requests.stopping.is_cancelled() {
         let message = "this daemon is stopping; another one will serve the request";
-        return Err(Problem::refused(StatusCode::SERVICE_UNAVAILABLE, "stopping", message)
+        return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "stopping", message)
             .retry_after(RETRY_ELSEWHERE_MS));
     }
     let Some(table) = api.requests.table.load_full() else {
         let message = "this daemon has no table yet";
-        return Err(Problem::refused(StatusCode::SERVICE_UNAVAILABLE, "no_table", message)
+        return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "no_table", message)
             .retry_after(RETRY_ELSEWHERE_MS));
     };
     let workspace = workspace_of(&table, req)?.clone();
@@ -68,23 +68,23 @@
     let key = match header(req, "idempotency-key") {
         Some(key) if key.len() > MAX_KEY_BYTES => {
             let message = "the idempotency key is longer than 256 bytes";
-            return Err(Problem::bad_request("bad_key", message));
+            return Err(ErrorResponse::bad_request("bad_key", message));
         }
         Some(key) => key.to_owned(),
         None => format!("auto-{}", api.next_attempt()),
     };
-    let once = header(req, "x-bankcove-repeatable") == Some("false");
+    let at_most_once = header(req, "x-bankcove-repeatable") == Some("false");
     let request = RequestHash::of(&workspace.name, &key);
     let (homes, workspace) = (workspace.homes, workspace.name);
-    Ok(Caller { table, workspace, homes, budget, key, request, once })
+    Ok(Caller { table, workspace, homes, budget, key, request, at_most_once })
 }
 
-fn workspace_of<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, Problem> {
+fn workspace_of<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, ErrorResponse> {
     let shown = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
     let known = shown.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
     known.ok_or_else(|| {
         let message = "the request shows no key of any workspace; send 'Authorization: Bearer KEY'";
-        Problem::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
+        ErrorResponse::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
     })
 }
 
@@ -92,13 +92,13 @@
     table: &'a Table,
     workspace: &Workspace,
     req: &Request,
-) -> Result<&'a Budget, Problem> {
+) -> Result<&'a Budget, ErrorResponse> {
     let named = header(req, BUDGET_HEADER).map(Name::from);
     let name = named.unwrap_or_else(|| workspace.default_budget.clone());
     let budget = table.budget(&name).filter(|budget| budget.workspace == workspace.name);
     budget.ok_or_else(|| {
         let message = format!("workspace '{}' has no budget '{name}'", workspace.name);
-        Problem::refused(StatusCode::FORBIDDEN, "no_such_budget", message)
+        ErrorResponse::refused(StatusCode::FORBIDDEN, "no_such_budget", message)
     })
 }
 
@@ -126,7 +126,12 @@
 }
 
 /// The answer to a request whose budget does not suffice.
-pub fn short(api: &Api, not_run: &NotRun, budget: &Budget, refusal: Refusal) -> Problem {
+pub fn budget_refusal(
+    api: &Api,
+    not_run: &NotRun,
+    budget: &Budget,
+    refusal: Refusal,
+) -> ErrorResponse {
     api.requests.base.metrics.count("refused.budget");
     let (status, code, message) = if refusal.store_away {
         let message = format!("no tokens of budget '{}' are in reach now", budget.name);
@@ -135,7 +140,7 @@
         let message = format!("budget '{}' does not cover the request's limit", budget.name);
         (StatusCode::TOO_MANY_REQUESTS, "budget_short", message)
     };
-    Problem::not_run(not_run, status, code, message).retry_after(refusal.retry_after_ms)
+    ErrorResponse::not_run(not_run, status, code, message).retry_after(refusal.retry_after_ms)
 }
 
 /// Wins the right to run a request that must not repeat.
@@ -146,7 +151,7 @@
     api: &Arc<Api>,
     caller: &Caller,
     attempt: Attempt<Admitted>,
-) -> Result<Attempt<Admitted>, Problem> {
+) -> Result<Attempt<Admitted>, ErrorResponse> {
     let entry = Entry::Claim { request: caller.request, attempt: attempt.id };
     match request_log::submit(&api.billing, entry).await {
         Outcome::ClaimWon => Ok(attempt),
@@ -159,22 +164,24 @@
 }
 
 /// The request itself may have run in the other attempt: not "not run".
-fn claimed_elsewhere(by: bankcove_core::AttemptId, billed: bool) -> Problem {
+fn claimed_elsewhere(by: bankcove_core::AttemptId, billed: bool) -> ErrorResponse {
     if billed {
         let message = format!("attempt {by} has run this request and it is billed");
-        return Problem::elsewhere("already_done", message, Fate::Done);
+        return ErrorResponse::elsewhere("already_done", message, RequestOutcome::Done);
     }
     let message = format!("attempt {by} holds this request; whether it ran is not known here");
-    Problem::elsewhere("claimed", message, Fate::Unknown).retry_after(RETRY_CLAIMED_MS)
+    ErrorResponse::elsewhere("claimed", message, RequestOutcome::Unknown)
+        .retry_after(RETRY_CLAIMED_MS)
 }
 
 /// The claim may be in the log all the same: it is given up there, so that a
 /// retry is not held up by it.
-fn claim_unsettled(api: &Api, caller: &Caller, attempt: Attempt<Admitted>) -> Problem {
+fn claim_unsettled(api: &Api, caller: &Caller, attempt: Attempt<Admitted>) -> ErrorResponse {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     api.billing.keep(Entry::Release { request: caller.request, attempt: id });
     let message = "the store does not answer, so a request that must not repeat can't be claimed";
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    Problem::not_run(&not_run, status, "claim_out_of_reach", message).retry_after(RETRY_CLAIMED_MS)
+    ErrorResponse::not_run(&not_run, status, "claim_out_of_reach", message)
+        .retry_after(RETRY_CLAIMED_MS)
 }
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -34,7 +34,7 @@
     /// The permit came too late; the server has failed nothing.
     NotSent(NotExecuted),
     /// Nothing ran there.
-    NothingRan {
+    NotExecuted {
         /// What proves it.
         proof: NotExecuted,
         /// Whether the server said that it is leaving.
@@ -46,7 +46,7 @@
 
 /// A request on its way to a backend server.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct BackendRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -61,7 +61,7 @@
     pub attempt: AttemptId,
 }
 
-impl Outgoing {
+impl BackendRequest {
     /// What is asked for, as [`Fingerprint::of`] a workspace's request; the name of a run,
     /// which differs between attempts, does not count.
     pub fn fingerprint(&self, workspace: &Name) -> Fingerprint {
@@ -96,7 +96,7 @@
 pub async fn dispatch(
     api: &Api,
     permit: Permit,
-    outgoing: Outgoing,
+    outgoing: BackendRequest,
     kind: ServerKind,
 ) -> Result<Response, DispatchError> {
     let Ok(choice) = permit.spend() else {
@@ -111,7 +111,7 @@
         Ok(res) => res,
         Err(e) if e.is_connect() => {
             let proof = NotExecuted::connection_failed();
-            return Err(DispatchError::NothingRan { proof, leaving: false });
+            return Err(DispatchError::NotExecuted { proof, leaving: false });
         }
         Err(_) => return Err(DispatchError::Unknown),
     };
@@ -121,7 +121,7 @@
         return Ok(res);
     }
     match res.json::<Refusal>().await {
-        Ok(refusal) if !refusal.error.ran => Err(DispatchError::NothingRan {
+        Ok(refusal) if !refusal.error.ran => Err(DispatchError::NotExecuted {
             proof: NotExecuted::refused_by_server(),
             leaving: refusal.error.code == "leaving",
         }),
@@ -154,7 +154,7 @@
 }
 
 /// Resumes the stream of a run; never begins one.
-pub async fn resume(
+pub async fn resume_stream(
     api: &Api,
     permit: Permit,
     run_id: &str,
@@ -171,7 +171,7 @@
 }
 
 /// Cancels a run and learns what it cost.
-pub async fn cancel(api: &Api, choice: &Choice, run_id: &str) -> Option<CancelledRun> {
+pub async fn cancel_run(api: &Api, choice: &Choice, run_id: &str) -> Option<CancelledRun> {
     let url = format!("http://{}/v1/runs/{run_id}/cancel", choice.address);
     let res = api.http.post(url).timeout(SHORT_CALL).send().await.ok()?;
     observe_closed(api, choice, &res);
@@ -194,7 +194,7 @@
 }
 
 /// Asks model servers for load reports until the daemon ends.
-pub async fn follow_load(api: Arc<Api>) {
+pub async fn poll_load_reports(api: Arc<Api>) {
     let interval = Duration::from_millis(api.requests.base.cfg.limits.load_report_ms);
     let mut turn = 0;
     loop {
--- a/crates/daemon/src/api/chat.rs
+++ b/crates/daemon/src/api/chat.rs
@@ -18,12 +18,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::api::Api;
-use crate::api::admission::{self, Caller, identify};
-use crate::api::answer::{ATTEMPT_HEADER, Answer, KEY_HEADER, Problem};
-use crate::api::api;
-use crate::api::backend::{self, Outgoing};
-use crate::api::placement::{self, Need, NotPlaced};
-use crate::api::pump::{self, Run};
+use crate::api::admission::{self, Caller, identify_caller};
+use crate::api::api_state;
+use crate::api::backend::{self, BackendRequest};
+use crate::api::delivery::{self, Run};
+use crate::api::placement::{self, NotPlaced, PlacementRequest};
+use crate::api::response::{ATTEMPT_HEADER, ErrorResponse, KEY_HEADER, ResponseBody};
 use crate::http::read_body;
 
 /// Bytes of a prompt that decide where it goes.
@@ -52,40 +52,40 @@
 /// Serves a chat request.
 #[handler]
 pub async fn complete(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api(depot);
+    let api = api_state(depot);
     let id = api.next_attempt();
-    put_header(res, ATTEMPT_HEADER, &id.to_string());
+    set_header(res, ATTEMPT_HEADER, &id.to_string());
     let chat = match read_chat(&api, id, req).await {
         Ok(chat) => chat,
         Err(problem) => return problem.render(res),
     };
-    put_header(res, KEY_HEADER, &chat.caller.key);
+    set_header(res, KEY_HEADER, &chat.caller.key);
     let (tx, rx) = oneshot::channel();
     // A task of its own: a caller that goes away must not cut off accounting.
     let serving = serve(Arc::clone(&api), chat, id, tx);
-    api.requests.work.spawn(serving);
+    api.requests.in_flight.spawn(serving);
     match rx.await {
-        Ok(Ok(Answer::Stream(pieces))) => {
+        Ok(Ok(ResponseBody::Stream(pieces))) => {
             res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             res.stream(futures::stream::unfold(pieces, |mut pieces| async {
                 let piece = pieces.recv().await?;
                 Some((Ok::<_, std::io::Error>(piece), pieces))
             }));
         }
-        Ok(Ok(Answer::Whole(body))) => {
+        Ok(Ok(ResponseBody::Complete(body))) => {
             res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
             res.body(body);
         }
         Ok(Err(problem)) => problem.render(res),
-        Err(_) => Problem::unknown("internal", "the request was dropped").render(res),
+        Err(_) => ErrorResponse::unknown("internal", "the request was dropped").render(res),
     }
 }
 
 /// Lists the models that have a route.
 #[handler]
 pub async fn list_models(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api(depot);
-    let caller = match identify(&api, req) {
+    let api = api_state(depot);
+    let caller = match identify_caller(&api, req) {
         Ok(caller) => caller,
         Err(problem) => return problem.render(res),
     };
@@ -97,24 +97,24 @@
 }
 
 /// Puts a header whose value is known to be plain text.
-pub fn put_header(res: &mut Response, name: &'static str, value: &str) {
+pub fn set_header(res: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
 }
 
-async fn read_chat(api: &Api, id: AttemptId, req: &mut Request) -> Result<Chat, Problem> {
-    let caller = identify(api, req)?;
+async fn read_chat(api: &Api, id: AttemptId, req: &mut Request) -> Result<Chat, ErrorResponse> {
+    let caller = identify_caller(api, req)?;
     let bytes = read_body(&api.requests.base.cfg.limits, req).await?;
     let body: Value = serde_json::from_slice(&bytes)
-        .map_err(|e| Problem::bad_request("bad_json", format!("the body is no JSON: {e}")))?;
+        .map_err(|e| ErrorResponse::bad_request("bad_json", format!("the body is no JSON: {e}")))?;
     let model = body["model"].as_str().unwrap_or_default().to_owned();
     let Some(route) = caller.table.route_for_model(&model).cloned() else {
         let message = format!("no route serves model '{model}'; see GET /v1/models");
-        return Err(Problem::refused(StatusCode::NOT_FOUND, "no_such_model", message));
+        return Err(ErrorResponse::refused(StatusCode::NOT_FOUND, "no_such_model", message));
     };
     if !body["messages"].is_array() {
-        return Err(Problem::bad_request("bad_request", "'messages' must be an array"));
+        return Err(ErrorResponse::bad_request("bad_request", "'messages' must be an array"));
     }
     let max_tokens = match &body["max_tokens"] {
         Value::Null => route.max_tokens,
@@ -122,7 +122,7 @@
             value.as_u64().filter(|n| (1..=route.max_tokens).contains(n)).ok_or_else(|| {
                 let message =
                     format!("'max_tokens' must be a number from 1 to {}", route.max_tokens);
-                Problem::bad_request("bad_max_tokens", message)
+                ErrorResponse::bad_request("bad_max_tokens", message)
             })?
         }
     };
@@ -138,7 +138,7 @@
         prefix: xxh3_64(prefix),
         prompt_bytes: messages.len(),
         stream: body["stream"].as_bool().unwrap_or(false),
-        repeatable: route.repeatable && !caller.once,
+        repeatable: route.repeatable && !caller.at_most_once,
         route_homes: route.homes.clone(),
         deadline: Duration::from_millis(route.deadline_ms),
         caller,
@@ -152,7 +152,7 @@
     api: Arc<Api>,
     chat: Chat,
     id: AttemptId,
-    mut tx: oneshot::Sender<Result<Answer, Problem>>,
+    mut tx: oneshot::Sender<Result<ResponseBody, ErrorResponse>>,
 ) {
     let started = api.requests.base.clock.now();
     let deadline = started + chat.deadline.as_millis() as Millis;
@@ -175,10 +175,10 @@
     if run.stream {
         let (pieces_tx, pieces_rx) = mpsc::channel(STREAM_BUFFER);
         // When the caller has gone, the pump sees its channel closed.
-        let _gone = tx.send(Ok(Answer::Stream(pieces_rx)));
-        pump::stream(&api, run, pieces_tx, deadline).await;
+        let _gone = tx.send(Ok(ResponseBody::Stream(pieces_rx)));
+        delivery::deliver_stream(&api, run, pieces_tx, deadline).await;
     } else {
-        pump::whole(&api, run, tx, deadline).await;
+        delivery::deliver_complete(&api, run, tx, deadline).await;
     }
 }
 
@@ -188,7 +188,7 @@
     chat: Chat,
     id: AttemptId,
     interrupt: impl Future<Output = ()>,
-) -> Result<Run, Problem> {
+) -> Result<Run, ErrorResponse> {
     let attempt = Attempt::new(chat.caller.request, id);
     let mut attempt = admit(api, &chat, attempt).await?;
     if !chat.repeatable {
@@ -203,7 +203,7 @@
         Err(NotPlaced::Refused(problem)) => return Err(problem),
         Err(NotPlaced::Interrupted(given_up)) => {
             let budget = chat.caller.budget.name;
-            return Err(pump::interrupted(api, chat.log, budget, &run_id, given_up).await);
+            return Err(delivery::abort_interrupted(api, chat.log, budget, &run_id, given_up).await);
         }
     };
     slog::info!(chat.log, "dispatched"; "server" => %placed.choice.server);
@@ -218,8 +218,8 @@
     })
 }
 
-fn need(chat: &Chat) -> Need<'_> {
-    Need {
+fn need(chat: &Chat) -> PlacementRequest<'_> {
+    PlacementRequest {
         pool: &chat.model,
         prefix: chat.prefix,
         kind: ServerKind::Model,
@@ -236,7 +236,7 @@
     api: &Arc<Api>,
     chat: &Chat,
     attempt: Attempt<Received>,
-) -> Result<Attempt<Admitted>, Problem> {
+) -> Result<Attempt<Admitted>, ErrorResponse> {
     let bound = chat.prompt_bytes as Tokens + chat.max_tokens;
     let budget = &chat.caller.budget;
     let (refusal, attempt) = match admission::admit(api, &chat.caller, attempt, bound).await {
@@ -248,21 +248,23 @@
         ShortagePolicy::Refuse => None,
     };
     let Some(exact) = exact.filter(|exact| *exact < bound) else {
-        return Err(admission::short(api, &attempt.not_run(), budget, refusal));
+        return Err(admission::budget_refusal(api, &attempt.not_run(), budget, refusal));
     };
     match admission::admit(api, &chat.caller, attempt, exact).await {
         Ok(admitted) => Ok(admitted),
-        Err((refusal, attempt)) => Err(admission::short(api, &attempt.not_run(), budget, refusal)),
+        Err((refusal, attempt)) => {
+            Err(admission::budget_refusal(api, &attempt.not_run(), budget, refusal))
+        }
     }
 }
 
 async fn count(api: &Arc<Api>, chat: &Chat) -> Option<Tokens> {
-    let permit = placement::choose(api, &need(chat), &[], None).await.ok()?;
+    let permit = placement::choose_server(api, &need(chat), &[], None).await.ok()?;
     let prompt = backend::count_tokens(api, permit, &chat.body).await?;
     Some(prompt + chat.max_tokens)
 }
 
-fn outgoing(chat: &Chat, run_id: String, attempt: AttemptId) -> Outgoing {
+fn outgoing(chat: &Chat, run_id: String, attempt: AttemptId) -> BackendRequest {
     let mut body = chat.body.clone();
     body["max_tokens"] = json!(chat.max_tokens);
     if chat.stream {
@@ -273,7 +275,7 @@
         reqwest::header::CONTENT_TYPE,
         reqwest::header::HeaderValue::from_static("application/json"),
     );
-    Outgoing {
+    BackendRequest {
         method: Method::POST,
         path: "/v1/chat/completions".to_owned(),
         headers,
--- a/crates/daemon/src/api/pump.rs
+++ b/crates/daemon/src/api/delivery.rs
@@ -19,10 +19,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::api::Api;
-use crate::api::answer::{Answer, Problem};
 use crate::api::backend;
 use crate::api::placement::{Interrupted, Placed};
-use crate::api::sse::{Event, Piece, Splitter, Usage};
+use crate::api::response::{ErrorResponse, ResponseBody};
+use crate::api::sse::{Chunk, Event, EventSplitter, Usage};
 use crate::bill::bills::{self, Billed};
 use crate::hints::permit::NoPermit;
 
@@ -99,7 +99,12 @@
 }
 
 /// Carries a stream to its caller.
-pub async fn stream(api: &Arc<Api>, run: Run, pieces: mpsc::Sender<Bytes>, deadline: Millis) {
+pub async fn deliver_stream(
+    api: &Arc<Api>,
+    run: Run,
+    pieces: mpsc::Sender<Bytes>,
+    deadline: Millis,
+) {
     let Run { log, budget, model, run_id, max_tokens, placed, .. } = run;
     let Placed { attempt, choice, res, mut open, fingerprint } = placed;
     let account = Account { log, budget, attempt, attached: is_attached(&res) };
@@ -129,7 +134,7 @@
             send_problem(&pieces, &late()).await;
         }
         Ending::Cancelled | Ending::ServerLost => {
-            open.failed();
+            open.record_failure();
             // A server that did not keep to its protocol is there, which is found out.
             api.requests.crashes.broke_off(&choice, fingerprint);
             give_up(api, account);
@@ -149,26 +154,26 @@
     let _unread = tokio::time::timeout(END_PATIENCE, sending).await;
 }
 
-async fn send_problem(pieces: &mpsc::Sender<Bytes>, problem: &Problem) {
+async fn send_problem(pieces: &mpsc::Sender<Bytes>, problem: &ErrorResponse) {
     let event = Bytes::from(format!("data: {}\n\n", problem.body()));
     // A caller that went away, or does not read, needs no answer.
     let _unread = tokio::time::timeout(END_PATIENCE, pieces.send(event)).await;
 }
 
-fn server_lost() -> Problem {
+fn server_lost() -> ErrorResponse {
     let message = "the server broke off; retry with the same idempotency key";
-    Problem::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
+    ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
 /// Ends a run that was given up before its answer began; returns what the
 /// caller is told, if it still listens.
-pub async fn interrupted(
+pub async fn abort_interrupted(
     api: &Arc<Api>,
     log: Logger,
     budget: Name,
     run_id: &str,
     interrupted: Interrupted,
-) -> Problem {
+) -> ErrorResponse {
     let Interrupted { attempt, choice, open } = interrupted;
     let account = Account { log, budget, attempt, attached: false };
     cancel_and_bill(api, account, &choice, run_id).await;
@@ -176,15 +181,15 @@
     late()
 }
 
-fn late() -> Problem {
-    Problem::unknown("deadline", "the route's deadline has passed")
+fn late() -> ErrorResponse {
+    ErrorResponse::unknown("deadline", "the route's deadline has passed")
 }
 
 /// Carries a whole answer to its caller.
-pub async fn whole(
+pub async fn deliver_complete(
     api: &Arc<Api>,
     run: Run,
-    mut tx: oneshot::Sender<Result<Answer, Problem>>,
+    mut tx: oneshot::Sender<Result<ResponseBody, ErrorResponse>>,
     deadline: Millis,
 ) {
     let Run { log, budget, run_id, placed, .. } = run;
@@ -209,10 +214,10 @@
             api.requests.crashes.succeeded(|| fingerprint);
             settle_and_bill(api, account, answer.usage).await;
             // A caller that went away only now has been billed for a whole run.
-            let _gone = tx.send(Ok(Answer::Whole(body)));
+            let _gone = tx.send(Ok(ResponseBody::Complete(body)));
         }
         _ => {
-            open.failed();
+            open.record_failure();
             api.requests.crashes.broke_off(&choice, fingerprint);
             give_up(api, account);
             // A caller that went away needs no answer.
@@ -272,13 +277,13 @@
                     continue;
                 }
             };
-            res = backend::resume(self.api, permit, self.run_id, self.model, offset).await;
+            res = backend::resume_stream(self.api, permit, self.run_id, self.model, offset).await;
         }
     }
 
     /// Carries one connection; none when the stream has to be resumed.
     async fn carry_connection(&mut self, mut res: Response) -> Option<Ending> {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         loop {
             let chunk = tokio::select! {
                 chunk = res.chunk() => chunk,
@@ -298,7 +303,7 @@
 
     async fn take(&mut self, event: Event) -> Step {
         let (piece, raw) = match event {
-            Event::Piece(piece, raw) => (piece, raw),
+            Event::Chunk(piece, raw) => (piece, raw),
             // The last piece comes before the end mark and has ended the loop.
             Event::End | Event::Unreadable => return Step::Resume,
         };
@@ -314,7 +319,7 @@
         }
     }
 
-    async fn deliver(&mut self, piece: &Piece, raw: Bytes) -> Step {
+    async fn deliver(&mut self, piece: &Chunk, raw: Bytes) -> Step {
         if piece.is_cancelled() {
             return Step::End(Ending::Cancelled);
         }
@@ -367,7 +372,7 @@
     run_id: &str,
 ) {
     api.requests.base.metrics.count("request.cancelled");
-    match backend::cancel(api, choice, run_id).await {
+    match backend::cancel_run(api, choice, run_id).await {
         Some(run) => {
             let usage =
                 Usage { prompt_tokens: run.prompt_tokens, completion_tokens: run.output_tokens };
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -13,8 +13,8 @@
 use salvo::http::StatusCode;
 
 use crate::api::Api;
-use crate::api::answer::Problem;
-use crate::api::backend::{self, DispatchError, Outgoing};
+use crate::api::backend::{self, BackendRequest, DispatchError};
+use crate::api::response::ErrorResponse;
 use crate::crashes::gate::RunApart;
 use crate::hints::permit::Permit;
 use crate::requests::open_request::OpenRequest;
@@ -40,7 +40,7 @@
 }
 
 /// What a request needs of a server.
-pub struct Need<'a> {
+pub struct PlacementRequest<'a> {
     /// The router's pool.
     pub pool: &'a str,
     /// Hash of the prompt's prefix.
@@ -61,9 +61,9 @@
 ///
 /// # Errors
 /// [`NoServer`] when none is to be had.
-pub async fn choose(
+pub async fn choose_server(
     api: &Api,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     tried: &[Name],
     place: Option<Placement>,
 ) -> Result<Permit, NoServer> {
@@ -79,7 +79,7 @@
 /// Chooses a server, at its place for a suspect.
 fn choose_at(
     api: &Api,
-    need: &Need,
+    need: &PlacementRequest,
     tried: &[Name],
     place: Option<Placement>,
 ) -> Result<Choice, NoServer> {
@@ -99,7 +99,7 @@
 /// Why no server has begun to answer.
 pub enum NotPlaced {
     /// The answer for the caller.
-    Refused(Problem),
+    Refused(ErrorResponse),
     /// The interrupt came first; the request may run at that server.
     Interrupted(Interrupted),
 }
@@ -122,8 +122,8 @@
 pub async fn place(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    need: &Need<'_>,
-    outgoing: &Outgoing,
+    need: &PlacementRequest<'_>,
+    outgoing: &BackendRequest,
     interrupt: impl Future<Output = ()>,
 ) -> Result<Placed, NotPlaced> {
     tokio::pin!(interrupt);
@@ -134,7 +134,7 @@
     let mut tried = Vec::new();
     let mut none = NoServer::NoneUsable;
     while tried.len() < api.requests.base.cfg.limits.max_tries {
-        let permit = match choose(api, need, &tried, place).await {
+        let permit = match choose_server(api, need, &tried, place).await {
             Ok(permit) => permit,
             Err(why) => {
                 none = why;
@@ -158,15 +158,15 @@
         };
         match answer {
             Ok(res) => {
-                open.apart = apart.take();
+                open.isolated_run = apart.take();
                 return Ok(Placed { attempt: dispatched, choice, res, open, fingerprint });
             }
             Err(DispatchError::NotSent(proof)) => {
                 attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
-            Err(DispatchError::NothingRan { proof, leaving }) => {
-                open.failed();
+            Err(DispatchError::NotExecuted { proof, leaving }) => {
+                open.record_failure();
                 if leaving {
                     let now = api.requests.base.clock.now();
                     api.requests.router.lock().record_leaving_refusal(
@@ -179,7 +179,7 @@
                 tried.push(choice.server);
             }
             Err(DispatchError::Unknown) => {
-                open.failed();
+                open.record_failure();
                 api.requests.crashes.broke_off(&choice, fingerprint);
                 return Err(NotPlaced::Refused(lost(api, dispatched, &choice)));
             }
@@ -201,14 +201,19 @@
 }
 
 /// The request may have run: its whole reservation counts as spent.
-fn lost(api: &Api, attempt: Attempt<Dispatched>, choice: &Choice) -> Problem {
+fn lost(api: &Api, attempt: Attempt<Dispatched>, choice: &Choice) -> ErrorResponse {
     let _finished = attempt.finish(&mut api.requests.budgets.holder(), None);
     api.requests.base.metrics.count("request.unknown");
     let message = format!("server '{}' broke off before its answer began", choice.server);
-    Problem::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
+    ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
-fn nowhere(api: &Api, attempt: Attempt<Admitted>, need: &Need<'_>, why: NoServer) -> Problem {
+fn nowhere(
+    api: &Api,
+    attempt: Attempt<Admitted>,
+    need: &PlacementRequest<'_>,
+    why: NoServer,
+) -> ErrorResponse {
     let not_run = give_back(api, attempt, need);
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let (metric, code, message, return_ms) =
@@ -233,11 +238,11 @@
             ),
         };
     api.requests.base.metrics.count(metric);
-    Problem::not_run(&not_run, status, code, message).retry_after(return_ms)
+    ErrorResponse::not_run(&not_run, status, code, message).retry_after(return_ms)
 }
 
 /// Gives back what was set aside and claimed for an attempt that runs nowhere.
-fn give_back(api: &Api, attempt: Attempt<Admitted>, need: &Need<'_>) -> NotRun {
+fn give_back(api: &Api, attempt: Attempt<Admitted>, need: &PlacementRequest<'_>) -> NotRun {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     if need.claimed {
@@ -250,9 +255,9 @@
 async fn pass_crashes(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     fingerprint: Fingerprint,
-) -> Result<(Attempt<Admitted>, Option<RunApart>), Problem> {
+) -> Result<(Attempt<Admitted>, Option<RunApart>), ErrorResponse> {
     let verdict = api.requests.crashes.settled(Millis::MAX, || fingerprint).await;
     let apart = (verdict == Verdict::Isolated)
         .then(|| api.requests.crashes.run_apart(fingerprint))
@@ -267,10 +272,10 @@
     Err(if verdict != Verdict::Blocked {
         let message = "backend servers that ran this request before broke off";
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Problem::not_run(&not_run, status, "crashes_in_doubt", message)
+        ErrorResponse::not_run(&not_run, status, "crashes_in_doubt", message)
             .retry_after(RETRY_NO_SERVER_MS)
     } else {
         let message = "the backend servers that ran this request before have crashed";
-        Problem::not_run(&not_run, StatusCode::BAD_REQUEST, "crashes_servers", message)
+        ErrorResponse::not_run(&not_run, StatusCode::BAD_REQUEST, "crashes_servers", message)
     })
 }
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -17,12 +17,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::api::Api;
-use crate::api::admission::{self, Caller, identify};
-use crate::api::answer::{ATTEMPT_HEADER, KEY_HEADER, Problem};
-use crate::api::api;
-use crate::api::backend::Outgoing;
-use crate::api::chat::put_header;
-use crate::api::placement::{self, Need, NotPlaced};
+use crate::api::admission::{self, Caller, identify_caller};
+use crate::api::api_state;
+use crate::api::backend::BackendRequest;
+use crate::api::chat::set_header;
+use crate::api::placement::{self, NotPlaced, PlacementRequest};
+use crate::api::response::{ATTEMPT_HEADER, ErrorResponse, KEY_HEADER};
 use crate::bill::bills;
 use crate::crashes;
 use crate::http::read_body;
@@ -52,11 +52,11 @@
 struct Call {
     caller: Caller,
     route: Route,
-    outgoing: Outgoing,
+    outgoing: BackendRequest,
 }
 
 /// A plain service's answer.
-struct Answer {
+struct ServiceResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -65,17 +65,17 @@
 /// Serves a call of a plain service.
 #[handler]
 pub async fn forward(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api(depot);
+    let api = api_state(depot);
     let id = api.next_attempt();
-    put_header(res, ATTEMPT_HEADER, &id.to_string());
+    set_header(res, ATTEMPT_HEADER, &id.to_string());
     let call = match read_call(&api, id, req).await {
         Ok(call) => call,
         Err(problem) => return problem.render(res),
     };
-    put_header(res, KEY_HEADER, &call.caller.key);
+    set_header(res, KEY_HEADER, &call.caller.key);
     let (tx, rx) = oneshot::channel();
     let serving = serve(Arc::clone(&api), call, id, tx);
-    api.requests.work.spawn(serving);
+    api.requests.in_flight.spawn(serving);
     match rx.await {
         Ok(Ok(answer)) => {
             res.status_code(answer.status);
@@ -87,7 +87,7 @@
             res.body(answer.body);
         }
         Ok(Err(problem)) => problem.render(res),
-        Err(_) => Problem::unknown("internal", "the request was dropped").render(res),
+        Err(_) => ErrorResponse::unknown("internal", "the request was dropped").render(res),
     }
 }
 
@@ -96,17 +96,17 @@
     !NOT_CARRIED.contains(&name) && !name.starts_with("x-bankcove-")
 }
 
-async fn read_call(api: &Api, id: AttemptId, req: &mut Request) -> Result<Call, Problem> {
-    let caller = identify(api, req)?;
+async fn read_call(api: &Api, id: AttemptId, req: &mut Request) -> Result<Call, ErrorResponse> {
+    let caller = identify_caller(api, req)?;
     let path = req.uri().path().to_owned();
     let Some(route) = caller.table.route_for_path(&path).cloned() else {
         let message = format!("no route leads from '{path}'");
-        return Err(Problem::refused(StatusCode::NOT_FOUND, "no_such_route", message));
+        return Err(ErrorResponse::refused(StatusCode::NOT_FOUND, "no_such_route", message));
     };
     let carried = req.headers().iter().filter(|(name, _)| is_carried(name));
     let headers: HeaderMap = carried.map(|(name, value)| (name.clone(), value.clone())).collect();
     let whole_path = req.uri().path_and_query().map_or(path, |path| path.as_str().to_owned());
-    let outgoing = Outgoing {
+    let outgoing = BackendRequest {
         method: Method::from_bytes(req.method().as_str().as_bytes()).unwrap_or(Method::GET),
         path: whole_path,
         headers,
@@ -121,7 +121,7 @@
     api: Arc<Api>,
     call: Call,
     id: AttemptId,
-    tx: oneshot::Sender<Result<Answer, Problem>>,
+    tx: oneshot::Sender<Result<ServiceResponse, ErrorResponse>>,
 ) {
     let deadline = Duration::from_millis(call.route.deadline_ms);
     let answer = run(&api, call, id, deadline).await;
@@ -137,28 +137,33 @@
     call: Call,
     id: AttemptId,
     deadline: Duration,
-) -> Result<Answer, Problem> {
+) -> Result<ServiceResponse, ErrorResponse> {
     let Call { caller, route, outgoing } = call;
     let attempt = Attempt::new(caller.request, id);
     let price = route.call_tokens;
     let mut attempt = match admission::admit(api, &caller, attempt, price).await {
         Ok(attempt) => attempt,
         Err((refusal, attempt)) => {
-            return Err(admission::short(api, &attempt.not_run(), &caller.budget, refusal));
+            return Err(admission::budget_refusal(
+                api,
+                &attempt.not_run(),
+                &caller.budget,
+                refusal,
+            ));
         }
     };
-    let once = caller.once || !route.repeatable;
-    if once {
+    let at_most_once = caller.at_most_once || !route.repeatable;
+    if at_most_once {
         attempt = admission::claim(api, &caller, attempt).await?;
     }
-    let need = Need {
+    let need = PlacementRequest {
         pool: route.name.as_str(),
         prefix: xxh3_64(outgoing.path.as_bytes()),
         kind: ServerKind::Service,
         request: caller.request,
         workspace: &caller.workspace,
         homes: Homes { route: &route.homes, workspace: &caller.homes },
-        claimed: once,
+        claimed: at_most_once,
     };
     let until = api.requests.base.clock.now() + deadline.as_millis() as Millis;
     let interrupt = api.requests.base.clock.sleep_until(until);
@@ -180,15 +185,20 @@
     let is_framed = crashes::is_framed(&headers);
     api.requests.crashes.ended(&placed.choice, is_framed, || placed.fingerprint);
     settle_and_bill(api, placed.attempt, &caller, price).await;
-    Ok(Answer { status, headers, body })
+    Ok(ServiceResponse { status, headers, body })
 }
 
 /// The service may have done what it was asked: the price counts as spent.
-fn lost(api: &Api, attempt: Attempt<Dispatched>, mut open: OpenRequest, server: &Name) -> Problem {
-    open.failed();
+fn lost(
+    api: &Api,
+    attempt: Attempt<Dispatched>,
+    mut open: OpenRequest,
+    server: &Name,
+) -> ErrorResponse {
+    open.record_failure();
     let _finished = attempt.finish(&mut api.requests.budgets.holder(), None);
     let message = format!("service '{server}' gave no whole answer in time");
-    Problem::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
+    ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
 async fn read_answer(mut res: reqwest::Response) -> Option<Bytes> {
--- a/crates/daemon/src/api/answer.rs
+++ b/crates/daemon/src/api/response.rs
@@ -18,7 +18,7 @@
 
 /// What became of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// It ran nowhere.
     NotRun,
     /// It may have run.
@@ -27,35 +27,35 @@
     Done,
 }
 
-impl Fate {
+impl RequestOutcome {
     fn as_str(self) -> &'static str {
         match self {
-            Fate::NotRun => "not_run",
-            Fate::Unknown => "unknown",
-            Fate::Done => "done",
+            RequestOutcome::NotRun => "not_run",
+            RequestOutcome::Unknown => "unknown",
+            RequestOutcome::Done => "done",
         }
     }
 }
 
 /// An answer other than the one asked for.
 #[derive(Debug, Clone)]
-pub struct Problem {
+pub struct ErrorResponse {
     status: StatusCode,
     code: &'static str,
     message: String,
-    fate: Fate,
+    fate: RequestOutcome,
     retry_after_ms: Option<Millis>,
 }
 
-impl Problem {
+impl ErrorResponse {
     /// The request is at fault; it was not run.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
-        Problem::new(StatusCode::BAD_REQUEST, code, message.into(), Fate::NotRun)
+        ErrorResponse::new(StatusCode::BAD_REQUEST, code, message.into(), RequestOutcome::NotRun)
     }
 
     /// An answer of this status about a request that no attempt was made at.
     pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
-        Problem::new(status, code, message.into(), Fate::NotRun)
+        ErrorResponse::new(status, code, message.into(), RequestOutcome::NotRun)
     }
 
     /// The attempt ran nowhere; its type proves it.
@@ -65,17 +65,17 @@
         code: &'static str,
         message: impl Into<String>,
     ) -> Self {
-        Problem::new(status, code, message.into(), Fate::NotRun)
+        ErrorResponse::new(status, code, message.into(), RequestOutcome::NotRun)
     }
 
     /// The request may have run.
     pub fn unknown(code: &'static str, message: impl Into<String>) -> Self {
-        Problem::new(StatusCode::BAD_GATEWAY, code, message.into(), Fate::Unknown)
+        ErrorResponse::new(StatusCode::BAD_GATEWAY, code, message.into(), RequestOutcome::Unknown)
     }
 
     /// Another attempt at the same request stands in the way.
-    pub fn elsewhere(code: &'static str, message: impl Into<String>, fate: Fate) -> Self {
-        Problem::new(StatusCode::CONFLICT, code, message.into(), fate)
+    pub fn elsewhere(code: &'static str, message: impl Into<String>, fate: RequestOutcome) -> Self {
+        ErrorResponse::new(StatusCode::CONFLICT, code, message.into(), fate)
     }
 
     /// Says when to come back.
@@ -90,8 +90,8 @@
         self.code
     }
 
-    fn new(status: StatusCode, code: &'static str, message: String, fate: Fate) -> Self {
-        Problem { status, code, message, fate, retry_after_ms: None }
+    fn new(status: StatusCode, code: &'static str, message: String, fate: RequestOutcome) -> Self {
+        ErrorResponse { status, code, message, fate, retry_after_ms: None }
     }
 
     /// The body of the answer.
@@ -117,9 +117,9 @@
 }
 
 /// The beginning of an answer.
-pub enum Answer {
+pub enum ResponseBody {
     /// Pieces as they come.
     Stream(mpsc::Receiver<Bytes>),
     /// The whole answer.
-    Whole(Bytes),
+    Complete(Bytes),
 }
--- a/crates/daemon/src/api/sse.rs
+++ b/crates/daemon/src/api/sse.rs
@@ -20,7 +20,7 @@
 
 /// What bankcove reads of a piece of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// Name of the run.
     pub id: String,
     /// Place in the stream; engines that do not number their pieces give none.
@@ -39,7 +39,7 @@
     pub finish_reason: Option<String>,
 }
 
-impl Piece {
+impl Chunk {
     /// Whether this piece ends the answer.
     pub fn is_last(&self) -> bool {
         self.usage.is_some() || self.choices.iter().any(|choice| choice.finish_reason.is_some())
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A piece of an answer, with its bytes as they came.
-    Piece(Piece, Bytes),
+    Chunk(Chunk, Bytes),
     /// The mark that ends the stream.
     End,
     /// Something that can't be read.
@@ -64,12 +64,12 @@
 
 /// Splits bytes into events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buf: BytesMut,
 }
 
-impl Splitter {
-    /// Takes in bytes; complete events come out of [`Splitter::next_event`].
+impl EventSplitter {
+    /// Takes in bytes; complete events come out of [`EventSplitter::next_event`].
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
@@ -97,7 +97,7 @@
         return Event::End;
     }
     match serde_json::from_str(data) {
-        Ok(piece) => Event::Piece(piece, raw),
+        Ok(piece) => Event::Chunk(piece, raw),
         Err(_) => Event::Unreadable,
     }
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -25,7 +25,7 @@
 use crate::entry::{self, Entry};
 use crate::error::{Error, Result};
 use crate::fleet::suspension;
-use crate::http::{Side, serve};
+use crate::http::{HttpServer, serve};
 use crate::membership::{self, unread_news};
 use crate::view::{hall_sync, host_list, server_sync, table_sync};
 use crate::{hints, operator, peer_server};
@@ -111,7 +111,7 @@
     /// Its state.
     pub daemon: Arc<Daemon>,
     entry: Option<Arc<Entry>>,
-    sides: Vec<Side>,
+    sides: Vec<HttpServer>,
 }
 
 impl Running {
@@ -140,7 +140,7 @@
                 let api = Api::new(requests, billing, daemon.http.clone());
                 let callers = caller_router(Arc::clone(&api));
                 sides.push(serve(&daemon.cfg.caller_listen, callers).await?);
-                tokio::spawn(backend::follow_load(api));
+                tokio::spawn(backend::poll_load_reports(api));
                 tokio::spawn(bills::hand_over(Arc::clone(&daemon.billing)));
             }
         }
@@ -210,10 +210,10 @@
             slog::warn!(daemon.log, "this host stays on the list"; "error" => %e);
         }
         slog::info!(daemon.log, "stopped"; "finished" => finished, "retired" => retired,
-            "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().total_reserved(),
+            "open" => daemon.requests.in_flight.len(), "reserved" => daemon.budgets.holder().total_reserved(),
             "bills_waiting" => daemon.billing.waiting());
         // What is open may go on until the platform's kill. Time over: the sides end.
-        let _over = daemon.clock.before(deadline, daemon.requests.work.wait()).await;
+        let _over = daemon.clock.before(deadline, daemon.requests.in_flight.wait()).await;
         self.sides.iter().for_each(|side| side.handle.stop_graceful(CLOSE_TIMEOUT));
         // The sides end by themselves; a failed task has ended as well.
         let ends = self.sides.into_iter().map(|side| side.task);
@@ -225,10 +225,10 @@
 /// Takes no more requests and waits until those in flight have ended and are
 /// billed; whether all have ended.
 async fn end_work(daemon: &Arc<Daemon>, deadline: Millis) -> bool {
-    slog::info!(daemon.log, "stopping"; "in_flight" => daemon.requests.work.len());
+    slog::info!(daemon.log, "stopping"; "in_flight" => daemon.requests.in_flight.len());
     daemon.requests.stopping.cancel();
-    daemon.requests.work.close();
-    let finished = daemon.clock.before(deadline, daemon.requests.work.wait()).await.is_some();
+    daemon.requests.in_flight.close();
+    let finished = daemon.clock.before(deadline, daemon.requests.in_flight.wait()).await.is_some();
     while daemon.billing.waiting() > 0 && daemon.clock.now() < deadline {
         tokio::time::sleep(STOP_POLL).await;
     }
@@ -236,7 +236,7 @@
 }
 
 /// Starts the sides of a platform with a wire of its own.
-async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<Side>> {
+async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<HttpServer>> {
     let mut sides = Vec::new();
     if let Some(address) = &entry.settings.metrics_listen {
         sides.push(serve(address, operator::metrics_router(Arc::clone(daemon))).await?);
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -25,7 +25,7 @@
 use crate::hints::Hints;
 use crate::membership::Membership;
 use crate::peer::PeerPool;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 use crate::view::View;
 
 /// One daemon.
@@ -65,7 +65,7 @@
     /// Heartbeats, and what else is told with them.
     pub membership: Arc<Membership>,
     /// What requests of callers are served with.
-    pub requests: Arc<Requests>,
+    pub requests: Arc<RequestContext>,
     /// Cancelled when background tasks are to end.
     pub ended: CancellationToken,
 }
@@ -130,7 +130,7 @@
         );
         let billing = Billing::new(fleet.clone(), store.clone());
         let budgets = Arc::new(budgets);
-        let requests = Requests {
+        let requests = RequestContext {
             base: base.clone(),
             fleet: fleet.clone(),
             table: Arc::clone(&table),
@@ -140,9 +140,9 @@
             hints: Arc::clone(&hints),
             unread_changed: Arc::clone(&membership.unread_changed),
             leaving,
-            last_end: Mutex::new(None),
+            latest_end: Mutex::new(None),
             stopping,
-            work: TaskTracker::new(),
+            in_flight: TaskTracker::new(),
         };
         Ok(Arc::new(Daemon {
             clock: base.clock,
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -29,13 +29,13 @@
 
 use crate::base::config::entry::EntrySettings;
 use crate::entry::backends::Backends;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 use crate::view::View;
 
 /// What the parts of the entry side share.
 pub struct Entry {
     /// What its requests are served with.
-    pub requests: Arc<Requests>,
+    pub requests: Arc<RequestContext>,
     /// What is known of the platform.
     pub view: Arc<View>,
     /// The platform's wire.
@@ -58,7 +58,7 @@
 
     /// The entry side of a daemon.
     pub fn new(
-        requests: Arc<Requests>,
+        requests: Arc<RequestContext>,
         view: Arc<View>,
         wire: Arc<dyn Wire>,
         settings: EntrySettings,
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -14,7 +14,7 @@
 use crate::entry::call::Call;
 use crate::entry::charge::Charge;
 use crate::entry::refusal::Refusal;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Longest wait for tokens of a budget: a draw takes two calls of the store at
 /// some 4 ms, and a refusal that comes later than a quarter of a caller's goal
@@ -95,7 +95,7 @@
 }
 
 /// When to come back after neither the store nor an owner had tokens.
-fn retry_in_outage(requests: &Requests) -> Duration {
+fn retry_in_outage(requests: &RequestContext) -> Duration {
     let outage_ms = requests.fleet.contact.store_age(requests.base.clock.now());
     Duration::from_millis(outage::retry_after_outage(outage_ms, rand::random()))
 }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -69,7 +69,7 @@
     let res = match sent {
         None => {
             call.ran = true;
-            open.failed();
+            open.record_failure();
             log_try(call, &choice, "no answer in time");
             return Tried::Late;
         }
@@ -80,14 +80,14 @@
         }
         Some(Err(SendError::NotConnected(problem))) => {
             charge.not_run(ran_before);
-            open.failed();
+            open.record_failure();
             log_try(call, &choice, &problem);
             return Tried::Unrun;
         }
         Some(Err(SendError::Broken(problem))) => {
             call.sent += 1;
             call.ran = true;
-            open.failed();
+            open.record_failure();
             log_try(call, &choice, &problem);
             entry.requests.crashes.broke_off(&choice, call.fingerprint());
             return Tried::Lost;
@@ -118,7 +118,7 @@
     call.ran = true;
     let promises_unrun = matches!(res.status().as_u16(), 408 | 421 | 429 | 503);
     if is_foreign || head.is_encoded || !head.is_signed || promises_unrun {
-        open.failed();
+        open.record_failure();
         log_try(call, &choice, "the answer is not the server's answer to this request");
         return Tried::Lost;
     }
@@ -141,13 +141,13 @@
     match call.entry.requests.base.clock.before(call.deadline, body).await {
         Some(Ok(body)) => {
             if status.is_server_error() {
-                open.failed();
+                open.record_failure();
                 log_try(call, &choice, "the server failed");
             }
             Tried::Answered(Answered { status, headers, body: body.to_bytes(), choice, is_framed })
         }
         Some(Err(e)) => {
-            open.failed();
+            open.record_failure();
             let is_large = e.downcast_ref::<LengthLimitError>().is_some();
             log_try(call, &choice, if is_large { "the answer is too large" } else { "cut short" });
             if !is_large {
@@ -156,7 +156,7 @@
             Tried::Lost
         }
         None => {
-            open.failed();
+            open.record_failure();
             log_try(call, &choice, "the answer did not end in time");
             Tried::Late
         }
--- a/crates/daemon/src/entry/charge.rs
+++ b/crates/daemon/src/entry/charge.rs
@@ -7,7 +7,7 @@
 use bankcove_core::holder::Reservation;
 use slog::Logger;
 
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Events that a server may have made beyond those that arrived, before it saw
 /// that nobody reads them: it stops within half a second, at 30 ms an event.
@@ -15,7 +15,7 @@
 
 /// The charge of one request; dropping it settles it.
 pub struct Charge {
-    requests: Arc<Requests>,
+    requests: Arc<RequestContext>,
     log: Logger,
     reservation: Option<Reservation>,
     input_tokens: Tokens,
@@ -29,7 +29,7 @@
     /// A charge of `reservation`; none for a request that costs nothing. `log` tells
     /// the request.
     pub fn new(
-        requests: &Arc<Requests>,
+        requests: &Arc<RequestContext>,
         log: &Logger,
         reservation: Option<Reservation>,
         input_tokens: Tokens,
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -9,8 +9,8 @@
 use bankcove_ports::wire::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::auth::hash_key;
 use crate::entry::refusal::Refusal;
-use crate::identity::hash_key;
 
 /// Times its goal that an answer may take to begin, or to come whole.
 const GOALS: u64 = 2;
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -89,12 +89,12 @@
                     return None;
                 }
                 Read::Late => {
-                    self.open.failed();
+                    self.open.record_failure();
                     return Some(Err(self.break_off("the time is over")));
                 }
                 Read::Broken(problem) => problem,
             };
-            self.open.failed();
+            self.open.record_failure();
             log_try(&self.call, &self.choice, problem);
             self.call.entry.requests.crashes.broke_off(&self.choice, self.call.fingerprint());
             if !self.resume().await {
@@ -121,7 +121,7 @@
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => {
                     self.pace.event();
-                    self.open.begun();
+                    self.open.record_prompt_read();
                     self.call.link.sent(events.len());
                     return Read::Events(events);
                 }
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -21,7 +21,7 @@
 use crate::entry::plan::Plan;
 use crate::entry::ready::entry;
 use crate::entry::refusal::Refusal;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Routes of the callers' side: every path is looked up in the table.
 pub fn router(entry: Arc<Entry>) -> Router {
@@ -32,7 +32,7 @@
 #[handler]
 async fn serve(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let entry = entry(depot);
-    let in_flight = entry.requests.work.token();
+    let in_flight = entry.requests.in_flight.token();
     if entry.requests.leaving.is_cancelled() {
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -120,7 +120,7 @@
     let plan = Plan::find(&table, host, req.uri().path(), &incoming)?;
     let host = Name::from(host);
     let ends = requests.base.clock.now() + plan.expected_time(&incoming).as_millis() as Millis;
-    if requests.last_end.lock().is_some_and(|last_end| ends > last_end) {
+    if requests.latest_end.lock().is_some_and(|last_end| ends > last_end) {
         return Err(Refusal::Stopping);
     }
     let path = req.uri().path_and_query().cloned();
@@ -165,6 +165,6 @@
 }
 
 /// When to come back while this start knows no table.
-fn retry_after_start(requests: &Requests) -> Duration {
+fn retry_after_start(requests: &RequestContext) -> Duration {
     Duration::from_millis(outage::retry_after_start(requests.base.clock.now(), rand::random()))
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -8,13 +8,13 @@
 use salvo::server::ServerHandle;
 use tokio::task::JoinHandle;
 
-use crate::api::answer::Problem;
+use crate::api::response::ErrorResponse;
 use crate::base::config::Limits;
 use crate::base::tcp;
 use crate::error::{Error, Result};
 
 /// A side that serves.
-pub struct Side {
+pub struct HttpServer {
     /// Stops it.
     pub handle: ServerHandle,
     /// Ends when it has stopped.
@@ -25,32 +25,35 @@
 ///
 /// # Errors
 /// [`Error::Listen`] when the port can't be listened on.
-pub async fn serve(address: &str, router: Router) -> Result<Side> {
+pub async fn serve(address: &str, router: Router) -> Result<HttpServer> {
     let acceptor = TcpAcceptor::try_from(tcp::listen(address)?);
     let acceptor =
         acceptor.map_err(|source| Error::Listen { address: address.to_owned(), source })?;
     let server = Server::new(acceptor);
     let handle = server.handle();
     let task = tokio::spawn(async move { server.serve(router).await });
-    Ok(Side { handle, task })
+    Ok(HttpServer { handle, task })
 }
 
 /// Reads a body within the bounds of the settings.
 ///
 /// # Errors
 /// The answer for a caller whose body is too large or too slow.
-pub async fn read_body(limits: &Limits, req: &mut Request) -> std::result::Result<Bytes, Problem> {
+pub async fn read_body(
+    limits: &Limits,
+    req: &mut Request,
+) -> std::result::Result<Bytes, ErrorResponse> {
     let reading = req.payload_with_max_size(limits.max_body_bytes);
     match tokio::time::timeout(Duration::from_millis(limits.body_timeout_ms), reading).await {
         Ok(Ok(body)) => Ok(body.clone()),
         Ok(Err(_)) => {
             let message =
                 format!("the body can't be read or exceeds {} bytes", limits.max_body_bytes);
-            Err(Problem::refused(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message))
+            Err(ErrorResponse::refused(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message))
         }
         Err(_) => {
             let message = format!("the body took longer than {} ms", limits.body_timeout_ms);
-            Err(Problem::refused(StatusCode::REQUEST_TIMEOUT, "body_too_slow", message))
+            Err(ErrorResponse::refused(StatusCode::REQUEST_TIMEOUT, "body_too_slow", message))
         }
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod api;
 pub mod args;
+pub mod auth;
 pub mod base;
 pub mod bill;
 pub mod budget;
@@ -16,7 +17,6 @@
 pub mod fleet;
 pub mod hints;
 pub mod http;
-pub mod identity;
 pub mod membership;
 pub mod operator;
 pub mod peer;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -14,10 +14,10 @@
 use serde_json::json;
 
 use crate::api::admission;
+use crate::auth::tokens_match;
 use crate::budget::draws::ask_owner;
 use crate::budget::statement::statement;
 use crate::daemon::Daemon;
-use crate::identity::tokens_match;
 use crate::view::table_sync::{self, EditError};
 
 /// Largest body that operators may send, in bytes.
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -32,7 +32,7 @@
         "stopping": daemon.requests.stopping.is_cancelled(),
         "store_heard_ms_ago": daemon.fleet.contact.store_age(now),
         "isolated": daemon.fleet.contact.is_isolated(now, daemon.cfg.limits.isolation_ms),
-        "requests_in_flight": daemon.requests.work.len(),
+        "requests_in_flight": daemon.requests.in_flight.len(),
         "bills_waiting": daemon.billing.waiting(),
         "peers": peers,
     })
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -1,6 +1,6 @@
 //! What requests of callers are served with, on bankcove's own interface and on a platform's wire.
 //!
-//! Owns which requests are open (`open_request`, [`Requests::work`]) and whether more are taken.
+//! Owns which requests are open (`open_request`, [`RequestContext::in_flight`]) and whether more are taken.
 //! May call the layers of state; called by `api` and `entry`, and by a planned stop.
 
 pub mod open_request;
@@ -23,7 +23,7 @@
 use crate::hints::Hints;
 
 /// What requests of callers are served with.
-pub struct Requests {
+pub struct RequestContext {
     /// Settings, clocks, logger and metrics.
     pub base: Base,
     /// The other daemons.
@@ -45,14 +45,14 @@
     pub leaving: CancellationToken,
     /// In a planned stop, the time by which a request that is still taken has
     /// to be expected to end.
-    pub last_end: Mutex<Option<Millis>>,
+    pub latest_end: Mutex<Option<Millis>>,
     /// Cancelled when a planned stop takes no more requests.
     pub stopping: CancellationToken,
     /// Requests in flight.
-    pub work: TaskTracker,
+    pub in_flight: TaskTracker,
 }
 
-impl Requests {
+impl RequestContext {
     /// Revision of the table in force; 0 when there is none yet.
     pub fn revision(&self) -> u64 {
         self.table.load().as_ref().map_or(0, |table| table.revision)
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -7,23 +7,23 @@
 
 use crate::crashes::gate::RunApart;
 use crate::membership::unread_news::MIN_TOLD_TOKENS;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// A request that is open at a server; dropping it counts it as ended.
 pub struct OpenRequest {
-    requests: Arc<Requests>,
+    requests: Arc<RequestContext>,
     server: Name,
     started_ms: Millis,
-    well: bool,
-    unread: Tokens,
+    succeeded: bool,
+    unread_prompt: Tokens,
     /// Its one further run, when it has the same crashes as another request.
-    pub apart: Option<RunApart>,
+    pub isolated_run: Option<RunApart>,
 }
 
 impl OpenRequest {
     /// Counts a request with a prompt of this length (0 without one) as open at
     /// the server of this choice.
-    pub fn new(requests: &Arc<Requests>, choice: &Choice, prompt: Tokens) -> Self {
+    pub fn new(requests: &Arc<RequestContext>, choice: &Choice, prompt: Tokens) -> Self {
         requests.router.lock().record_sent(&choice.server, choice.started_ms, prompt);
         if prompt >= MIN_TOLD_TOKENS {
             requests.unread_changed.notify_one();
@@ -32,15 +32,15 @@
             requests: Arc::clone(requests),
             server: choice.server.clone(),
             started_ms: choice.started_ms,
-            well: true,
-            unread: prompt,
-            apart: None,
+            succeeded: true,
+            unread_prompt: prompt,
+            isolated_run: None,
         }
     }
 
     /// The server has read the prompt: its answer has begun.
-    pub fn begun(&mut self) {
-        let prompt = std::mem::take(&mut self.unread);
+    pub fn record_prompt_read(&mut self) {
+        let prompt = std::mem::take(&mut self.unread_prompt);
         if prompt > 0 {
             self.requests.router.lock().record_prompt_read(&self.server, self.started_ms, prompt);
         }
@@ -50,15 +50,20 @@
     }
 
     /// The server has failed this request.
-    pub fn failed(&mut self) {
-        self.well = false;
+    pub fn record_failure(&mut self) {
+        self.succeeded = false;
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.begun();
+        self.record_prompt_read();
         let now = self.requests.base.clock.now();
-        self.requests.router.lock().record_ended(now, &self.server, self.started_ms, self.well);
+        self.requests.router.lock().record_ended(
+            now,
+            &self.server,
+            self.started_ms,
+            self.succeeded,
+        );
     }
 }
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -1,6 +1,6 @@
 //! Tables for proofs.
 
-use bankcoved::identity::hash_key;
+use bankcoved::auth::hash_key;
 use serde_json::{Value, json};
 
 /// The model of every proof.
--- a/crates/proofs/tests/path.rs
+++ b/crates/proofs/tests/path.rs
@@ -91,7 +91,7 @@
     assert_eq!(res.expect("the daemon answers").status().as_u16(), 401);
     Caller::default().ask(&fleet.daemons[0].callers, &Ask::new("logged")).await;
     let dump = fleet.operator(0, "dump").await.expect("the daemon answers").to_string();
-    let hash = bankcoved::identity::hash_key(KEY);
+    let hash = bankcoved::auth::hash_key(KEY);
     assert!(!dump.contains(&hash) && !dump.contains(KEY) && !dump.contains(TOKEN));
     let log = fleet.log(0);
     assert!(!log.contains(KEY) && !log.contains("summarise shift"), "{log}");
