--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -1,8 +1,8 @@
-//! bankcove's own interface for callers: chat completions and plain service calls.
+//! bankcove's own HTTP interface for callers: chat completions and calls of plain services.
 //!
-//! Owns a request's way from `admission` over `placement` to its answer (`delivery`, `proxy`).
-//! May call `requests`, `bill` and the layers below; called by HTTP alone. A platform's wire
-//! of its own is served by `entry` instead.
+//! Handles a request from `admission` through `placement` to its response (`delivery`, `proxy`).
+//! May call `requests`, `bill` and the layers below; called only by HTTP routes. The platform's
+//! own protocol is served by `entry` instead.
 
 pub mod admission;
 pub mod backend;
@@ -22,19 +22,19 @@
 use crate::bill::billing::Billing;
 use crate::requests::RequestContext;
 
-/// What the parts of this side share.
+/// Shared state of the handlers of this interface.
 pub struct Api {
-    /// What its requests are served with.
+    /// State that requests are served with.
     pub requests: Arc<RequestContext>,
-    /// Bills that wait for the store.
+    /// Bills and other request log entries that wait for the store.
     pub billing: Arc<Billing>,
-    /// Connections to backend servers.
+    /// HTTP client with the connections to backend servers.
     pub http: reqwest::Client,
     attempts: AtomicU64,
 }
 
 impl Api {
-    /// This side of a daemon.
+    /// Creates the state of this interface.
     pub fn new(
         requests: Arc<RequestContext>,
         billing: Arc<Billing>,
@@ -43,15 +43,15 @@
         Arc::new(Api { requests, billing, http, attempts: AtomicU64::new(0) })
     }
 
-    /// Identity for a new attempt.
+    /// Returns the identifier for a new attempt.
     pub fn next_attempt(&self) -> AttemptId {
         let sequence = self.attempts.fetch_add(1, Ordering::Relaxed);
         AttemptId { incarnation: self.requests.base.incarnation, sequence }
     }
 }
 
-/// The side that a request came to.
+/// Returns the state that is injected into the routes of this interface.
 pub fn api_state(depot: &Depot) -> Arc<Api> {
     let api = depot.obtain::<Arc<Api>>();
-    Arc::clone(api.expect("this side is injected into every route"))
+    Arc::clone(api.expect("Api is injected into every route"))
 }
--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of the command line.
+//! Command-line arguments of the daemon.
 
 use std::path::PathBuf;
 
@@ -6,32 +6,32 @@
 
 /// Routes requests to backend servers under prepaid token budgets.
 ///
-/// The daemon stands on an entry host between callers and backend servers. It
-/// reads its settings from one JSON file, takes the operators' table from the
-/// platform's object API and from its peers, and keeps nothing on disk. It
-/// stops on SIGTERM or SIGINT: requests in flight are finished first.
+/// The daemon runs on an entry host between callers and backend servers. It
+/// reads its settings from one JSON file, fetches the operators' table from the
+/// platform's object API and from its peers, and stores nothing on disk. On
+/// SIGTERM or SIGINT it finishes the requests in flight, then stops.
 #[derive(Debug, Parser)]
 #[command(name = "bankcoved", version, subcommand_negates_reqs = true)]
 pub struct Args {
-    /// JSON file with the settings of this daemon.
+    /// JSON file with the daemon's settings.
     #[arg(long, value_name = "FILE", required_unless_present = "print_defaults")]
     pub config: Option<PathBuf>,
 
-    /// Print settings with every default written out, then exit.
+    /// Print the settings with all defaults, then exit.
     #[arg(long)]
     pub print_defaults: bool,
 
-    /// Something other than serving.
+    /// Command to run instead of serving requests.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What can be done besides serving.
+/// Commands other than serving requests.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a settings file as a whole and name every fault.
+    /// Check a settings file and report every fault.
     Check {
-        /// The JSON file.
+        /// The JSON settings file.
         file: PathBuf,
     },
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! What the HTTP sides have in common: serving, injected state, bodies.
+//! HTTP server start-up and request body reading, shared by all HTTP interfaces of the daemon.
 
 use std::time::Duration;
 
@@ -13,18 +13,18 @@
 use crate::base::tcp;
 use crate::error::{Error, Result};
 
-/// A side that serves.
+/// A running HTTP server.
 pub struct HttpServer {
-    /// Stops it.
+    /// Stops the server.
     pub handle: ServerHandle,
-    /// Ends when it has stopped.
+    /// Completes when the server has stopped.
     pub task: JoinHandle<()>,
 }
 
-/// Serves `router` on `address`.
+/// Starts a server for `router` on `address`.
 ///
 /// # Errors
-/// [`Error::Listen`] when the port can't be listened on.
+/// [`Error::Listen`] if the address can't be bound.
 pub async fn serve(address: &str, router: Router) -> Result<HttpServer> {
     let acceptor = TcpAcceptor::try_from(tcp::listen(address)?);
     let acceptor =
@@ -35,10 +35,10 @@
     Ok(HttpServer { handle, task })
 }
 
-/// Reads a body within the bounds of the settings.
+/// Reads a request body within the size and time limits of the settings.
 ///
 /// # Errors
-/// The answer for a caller whose body is too large or too slow.
+/// The response to the caller if the body is too large, too slow or can't be read.
 pub async fn read_body(
     limits: &Limits,
     req: &mut Request,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! The bankcove daemon as a library, so that the demo can embed it.
 //!
-//! A thin shell around `bankcove-core`: it turns sockets, timers and answers
-//! of the store into events and carries out the commands that come back.
+//! A thin I/O layer around `bankcove-core`: it converts data from sockets, timers and the store
+//! into events for the state machines there and executes the commands that they return.
 
 pub mod api;
 pub mod args;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The bankcove daemon.
+//! Entry point of the bankcove daemon.
 
 use clap::Parser;
 
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -1,7 +1,9 @@
-//! What requests of callers are served with, on bankcove's own interface and on a platform's wire.
+//! State that requests of callers are served with, both over bankcove's own interface (`api`) and
+//! over the platform's protocol (`entry`).
 //!
-//! Owns which requests are open (`open_request`, [`RequestContext::in_flight`]) and whether more are taken.
-//! May call the layers of state; called by `api` and `entry`, and by a planned stop.
+//! Owns the set of open requests (`open_request`, [`RequestContext::in_flight`]) and the flags
+//! that end the acceptance of new ones. May call the layers that hold state; called by `api` and
+//! `entry`, and by a planned stop.
 
 pub mod open_request;
 
@@ -22,38 +24,38 @@
 use crate::fleet::Fleet;
 use crate::hints::Hints;
 
-/// What requests of callers are served with.
+/// Shared state for serving requests of callers.
 pub struct RequestContext {
-    /// Settings, clocks, logger and metrics.
+    /// Settings, clock, logger and metrics.
     pub base: Base,
-    /// The other daemons.
+    /// Membership of and connections to the other daemons.
     pub fleet: Fleet,
-    /// The table in force; none until the first one is adopted.
+    /// The current table; `None` until the first one is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
-    /// The routing state.
+    /// State of the backend servers and choice among them.
     pub router: Arc<Mutex<Router>>,
-    /// Budgets held and shards owned.
+    /// Budget tokens held by this daemon and budget shards that it owns.
     pub budgets: Arc<Budgets>,
-    /// What is known of servers that crashed, and under which requests.
+    /// Crashes of backend servers, and the requests that were running there.
     pub crashes: Arc<Crashes>,
-    /// What servers have said of themselves, and the permits that follow from it.
+    /// Signals that backend servers have sent about themselves, and the send permits based on
+    /// them.
     pub hints: Arc<Hints>,
-    /// Told when what servers have to read for this daemon has changed.
+    /// Notified when the unread prompt tokens that this daemon has sent to servers have changed.
     pub unread_changed: Arc<Notify>,
-    /// Cancelled when the platform's balancer is to send no new connections;
-    /// requests are still taken then.
+    /// Cancelled when the platform's load balancer should send no new connections; requests are
+    /// still accepted then.
     pub leaving: CancellationToken,
-    /// In a planned stop, the time by which a request that is still taken has
-    /// to be expected to end.
+    /// During a planned stop: a request is only accepted if it is expected to end by this time.
     pub latest_end: Mutex<Option<Millis>>,
-    /// Cancelled when a planned stop takes no more requests.
+    /// Cancelled when no more requests are accepted because of a planned stop.
     pub stopping: CancellationToken,
     /// Requests in flight.
     pub in_flight: TaskTracker,
 }
 
 impl RequestContext {
-    /// Revision of the table in force; 0 when there is none yet.
+    /// Returns the revision of the current table, or 0 if there is none yet.
     pub fn revision(&self) -> u64 {
         self.table.load().as_ref().map_or(0, |table| table.revision)
     }
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -1,4 +1,4 @@
-//! A request that is open at a backend server, on either side for callers.
+//! Accounting of requests that are open at a backend server, whichever interface received them.
 
 use std::sync::Arc;
 
@@ -9,20 +9,21 @@
 use crate::membership::unread_news::MIN_TOLD_TOKENS;
 use crate::requests::RequestContext;
 
-/// A request that is open at a server; dropping it counts it as ended.
+/// A request that is open at a server. Dropping it records the request as ended.
 pub struct OpenRequest {
     requests: Arc<RequestContext>,
     server: Name,
     started_ms: Millis,
     succeeded: bool,
     unread_prompt: Tokens,
-    /// Its one further run, when it has the same crashes as another request.
+    /// Registration of its only further run, if it has the same crashes as another request
+    /// ([`bankcove_core::crashes::Verdict::Isolated`]).
     pub isolated_run: Option<RunApart>,
 }
 
 impl OpenRequest {
-    /// Counts a request with a prompt of this length (0 without one) as open at
-    /// the server of this choice.
+    /// Records a request as open at the chosen server. `prompt` is the length of its prompt in
+    /// tokens, 0 without one.
     pub fn new(requests: &Arc<RequestContext>, choice: &Choice, prompt: Tokens) -> Self {
         requests.router.lock().record_sent(&choice.server, choice.started_ms, prompt);
         if prompt >= MIN_TOLD_TOKENS {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The server has read the prompt: its answer has begun.
+    /// Records that the server has read the prompt, because its response has begun.
     pub fn record_prompt_read(&mut self) {
         let prompt = std::mem::take(&mut self.unread_prompt);
         if prompt > 0 {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The server has failed this request.
+    /// Records that the server failed to serve the request.
     pub fn record_failure(&mut self) {
         self.succeeded = false;
     }
