--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -1,5 +1,5 @@
-//! From a request that was read to one that may be dispatched: the caller's
-//! workspace, its budget, and the claim of a request that must not repeat.
+//! Admission of a request: finds the caller's workspace and budget, reserves the maximum cost, and
+//! claims a request that must not run twice.
 
 use std::sync::Arc;
 
@@ -17,54 +17,55 @@
 use crate::budget::reserve::reserve;
 use crate::peer::Refusal;
 
-/// Header that names a budget other than the workspace's own.
+/// Request header with the name of a budget other than the workspace's default.
 const BUDGET_HEADER: &str = "x-bankcove-budget";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// When to come back while a daemon stops or has no table yet.
-const RETRY_ELSEWHERE_MS: u64 = 1_000;
+/// Retry delay when the daemon is stopping or has no table yet; another one may serve the request.
+const RETRY_OTHER_DAEMON_MS: u64 = 1_000;
 
-/// When to come back for the outcome of an attempt elsewhere.
+/// Retry delay when another attempt has claimed the request, or the claim can't be made.
 const RETRY_CLAIMED_MS: u64 = 2_000;
 
-/// Who calls, and what pays.
+/// The caller of a request and the budget that pays for it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The table that the request is served by.
+    /// The table revision that the request is served with.
     pub table: Arc<Table>,
-    /// The workspace.
+    /// The caller's workspace.
     pub workspace: Name,
-    /// Regions that may serve the workspace; with none all may.
+    /// Home regions of the workspace; an empty list allows all regions.
     pub homes: Vec<Name>,
-    /// The budget.
+    /// The budget that is charged.
     pub budget: Budget,
-    /// The idempotency key, made when the caller sent none.
+    /// The idempotency key; generated if the caller sent none.
     pub key: String,
-    /// The request.
+    /// Hash of the workspace and the key, which identifies the request.
     pub request: RequestHash,
-    /// Whether the caller says that the request may not run twice.
+    /// Whether the caller has marked the request as not repeatable.
     pub at_most_once: bool,
 }
 
-/// Reads who calls.
+/// Determines the caller and its budget from the headers of a request.
 ///
 /// # Errors
-/// The answer for a caller that may not go on.
+/// The response to the caller if the daemon is stopping or has no table, or if the key or budget
+/// is invalid.
 pub fn identify_caller(api: &Api, req: &Request) -> Result<Caller, ErrorResponse> {
     if api.requests.stopping.is_cancelled() {
         let message = "this daemon is stopping; another one will serve the request";
         return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "stopping", message)
-            .retry_after(RETRY_ELSEWHERE_MS));
+            .retry_after(RETRY_OTHER_DAEMON_MS));
     }
     let Some(table) = api.requests.table.load_full() else {
         let message = "this daemon has no table yet";
         return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "no_table", message)
-            .retry_after(RETRY_ELSEWHERE_MS));
+            .retry_after(RETRY_OTHER_DAEMON_MS));
     };
-    let workspace = workspace_of(&table, req)?.clone();
-    let budget = budget_of(&table, &workspace, req)?.clone();
+    let workspace = find_workspace(&table, req)?.clone();
+    let budget = find_budget(&table, &workspace, req)?.clone();
     let key = match header(req, "idempotency-key") {
         Some(key) if key.len() > MAX_KEY_BYTES => {
             let message = "the idempotency key is longer than 256 bytes";
@@ -79,16 +80,18 @@
     Ok(Caller { table, workspace, homes, budget, key, request, at_most_once })
 }
 
-fn workspace_of<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, ErrorResponse> {
-    let shown = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let known = shown.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
-    known.ok_or_else(|| {
+/// Finds the workspace by the bearer key of a request.
+fn find_workspace<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, ErrorResponse> {
+    let presented = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
+    let workspace = presented.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
+    workspace.ok_or_else(|| {
         let message = "the request shows no key of any workspace; send 'Authorization: Bearer KEY'";
         ErrorResponse::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
     })
 }
 
-fn budget_of<'a>(
+/// Finds the budget named by a request, by default the workspace's own.
+fn find_budget<'a>(
     table: &'a Table,
     workspace: &Workspace,
     req: &Request,
@@ -102,22 +105,22 @@
     })
 }
 
-/// The value of a header, when it is readable text.
+/// Returns the value of a header if it is valid text.
 pub fn header<'a>(req: &'a Request, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets the greatest cost aside.
+/// Reserves the maximum cost of a request from the caller's budget.
 ///
 /// # Errors
-/// The refusal, together with the attempt, which may try a smaller cost.
+/// The refusal, together with the attempt, which may be retried at a lower cost.
 pub async fn admit(
     api: &Arc<Api>,
     caller: &Caller,
     attempt: Attempt<Received>,
     tokens: Tokens,
 ) -> Result<Attempt<Admitted>, (Refusal, Attempt<Received>)> {
-    // Nothing is rationed here: requests of this interface have no ranks.
+    // Requests of this interface have no urgency ranks, so none of them is rationed.
     let demand = RequestDemand { tokens, rank: 0, ration_s: 0.0 };
     match reserve(&api.requests.budgets, &caller.budget, demand).await {
         Ok(reservation) => Ok(attempt.admit(reservation)),
@@ -125,7 +128,7 @@
     }
 }
 
-/// The answer to a request whose budget does not suffice.
+/// Returns the response to a request that its budget does not cover, and counts the refusal.
 pub fn budget_refusal(
     api: &Api,
     not_run: &NotRun,
@@ -143,10 +146,10 @@
     ErrorResponse::not_run(not_run, status, code, message).retry_after(refusal.retry_after_ms)
 }
 
-/// Wins the right to run a request that must not repeat.
+/// Claims a request that must not run twice, so that only this attempt may run it.
 ///
 /// # Errors
-/// The answer for a caller whose attempt did not win.
+/// The response to the caller if another attempt has the claim, or the store does not confirm it.
 pub async fn claim(
     api: &Arc<Api>,
     caller: &Caller,
@@ -157,26 +160,31 @@
         Outcome::ClaimWon => Ok(attempt),
         Outcome::ClaimLost { by, billed } => {
             let _not_run = attempt.not_run(&mut api.requests.budgets.holder());
-            Err(claimed_elsewhere(by, billed))
+            Err(claim_lost_response(by, billed))
         }
-        _ => Err(claim_unsettled(api, caller, attempt)),
+        _ => Err(claim_unavailable_response(api, caller, attempt)),
     }
 }
 
-/// The request itself may have run in the other attempt: not "not run".
-fn claimed_elsewhere(by: bankcove_core::AttemptId, billed: bool) -> ErrorResponse {
+/// Returns the response for a claim lost to another attempt. It is never "not run", because the
+/// other attempt may have run the request.
+fn claim_lost_response(by: bankcove_core::AttemptId, billed: bool) -> ErrorResponse {
     if billed {
         let message = format!("attempt {by} has run this request and it is billed");
-        return ErrorResponse::elsewhere("already_done", message, RequestOutcome::Done);
+        return ErrorResponse::conflict("already_done", message, RequestOutcome::Done);
     }
     let message = format!("attempt {by} holds this request; whether it ran is not known here");
-    ErrorResponse::elsewhere("claimed", message, RequestOutcome::Unknown)
+    ErrorResponse::conflict("claimed", message, RequestOutcome::Unknown)
         .retry_after(RETRY_CLAIMED_MS)
 }
 
-/// The claim may be in the log all the same: it is given up there, so that a
-/// retry is not held up by it.
-fn claim_unsettled(api: &Api, caller: &Caller, attempt: Attempt<Admitted>) -> ErrorResponse {
+/// Ends an attempt whose claim was not confirmed, and returns the response. The claim may have
+/// been written nevertheless, so it is released in the log, where it would block a retry.
+fn claim_unavailable_response(
+    api: &Api,
+    caller: &Caller,
+    attempt: Attempt<Admitted>,
+) -> ErrorResponse {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     api.billing.keep(Entry::Release { request: caller.request, attempt: id });
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -1,4 +1,4 @@
-//! Calls of backend servers.
+//! Client for the HTTP interface of backend servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,57 +18,58 @@
 use crate::api::Api;
 use crate::hints::permit::Permit;
 
-/// Longest call that is not a request of a caller.
-const SHORT_CALL: Duration = Duration::from_secs(2);
+/// Timeout of calls that are not requests of callers, such as load reports and cancellations.
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// On any answer of a server: requests a second that it takes from all daemons together.
-/// Orders to cancel a run, and load reports, are no requests and don't count.
+/// Response header with the requests per second that the server accepts from all daemons together.
+/// Cancellations of a run and load reports don't count as requests.
 const LIMIT_HEADER: &str = "x-requests-per-second";
 
-/// On any answer of a server that leaves: "1".
+/// Response header with the value "1", sent by a server that is shutting down.
 const LEAVING_HEADER: &str = "x-server-leaving";
 
-/// Why a dispatch brought no answer.
+/// Reason why a dispatch returned no response.
 #[derive(Debug)]
 pub enum DispatchError {
-    /// The permit came too late; the server has failed nothing.
+    /// The request was not sent because its permit was no longer valid; no failure of the server.
     NotSent(NotExecuted),
-    /// Nothing ran there.
+    /// The server did not execute the request.
     NotExecuted {
-        /// What proves it.
+        /// Proof that it was not executed.
         proof: NotExecuted,
-        /// Whether the server said that it is leaving.
+        /// Whether the server refused the request because it is shutting down.
         leaving: bool,
     },
-    /// The request may have run.
+    /// The server may have executed the request.
     Unknown,
 }
 
-/// A request on its way to a backend server.
+/// Request to a backend server.
 #[derive(Debug, Clone)]
 pub struct BackendRequest {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers that the caller's request carries on.
+    /// Headers, some of them forwarded from the caller's request.
     pub headers: reqwest::header::HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// Name of the run, the same for every attempt at the same request.
+    /// Identifier of the run, the same for every attempt at the same request.
     pub run_id: String,
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
 }
 
 impl BackendRequest {
-    /// What is asked for, as [`Fingerprint::of`] a workspace's request; the name of a run,
-    /// which differs between attempts, does not count.
+    /// Returns the content hash of the request for a workspace. The run identifier is not
+    /// included: it differs if the caller repeats the request under another idempotency key.
     pub fn fingerprint(&self, workspace: &Name) -> Fingerprint {
         Fingerprint::of("", &self.path, workspace.as_str(), &self.body)
     }
 }
 
+/// Body of the response with which an engine refuses a request.
 #[derive(Deserialize)]
 struct Refusal {
     error: RefusalBody,
@@ -80,7 +81,7 @@
     ran: bool,
 }
 
-/// What a cancelled run has cost.
+/// Cost of a cancelled run.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct CancelledRun {
     /// Tokens of the prompt.
@@ -89,24 +90,25 @@
     pub output_tokens: Tokens,
 }
 
-/// Sends a request and returns once its answer begins.
+/// Sends a request and returns once the response begins.
 ///
 /// # Errors
-/// [`DispatchError`] tells whether the request may have run.
+/// [`DispatchError`], which shows whether the request may have run.
 pub async fn dispatch(
     api: &Api,
     permit: Permit,
-    outgoing: BackendRequest,
+    backend_request: BackendRequest,
     kind: ServerKind,
 ) -> Result<Response, DispatchError> {
     let Ok(choice) = permit.spend() else {
         return Err(DispatchError::NotSent(NotExecuted::never_sent()));
     };
-    let asked_at = api.requests.base.clock.now();
-    let url = format!("http://{}{}", choice.address, outgoing.path);
-    let req = api.http.request(outgoing.method, url).headers(outgoing.headers);
-    let req = req.header("x-run-id", &outgoing.run_id);
-    let req = req.header("x-attempt", outgoing.attempt.to_string()).body(outgoing.body);
+    let sent_at = api.requests.base.clock.now();
+    let url = format!("http://{}{}", choice.address, backend_request.path);
+    let req = api.http.request(backend_request.method, url).headers(backend_request.headers);
+    let req = req.header("x-run-id", &backend_request.run_id);
+    let req =
+        req.header("x-attempt", backend_request.attempt.to_string()).body(backend_request.body);
     let res = match req.send().await {
         Ok(res) => res,
         Err(e) if e.is_connect() => {
@@ -115,8 +117,8 @@
         }
         Err(_) => return Err(DispatchError::Unknown),
     };
-    observe(api, &choice, asked_at, &res);
-    // A plain service may say anything in its body; only engines are believed.
+    observe_response(api, &choice, sent_at, &res);
+    // Only refusals of engines are trusted: the body of a plain service can contain anything.
     if kind == ServerKind::Service || res.status() != StatusCode::SERVICE_UNAVAILABLE {
         return Ok(res);
     }
@@ -129,16 +131,17 @@
     }
 }
 
-/// Takes in what the head of an answer says of its server.
-fn observe(api: &Api, choice: &Choice, asked_at: Millis, res: &Response) {
-    api.requests.hints.observe(&api.requests.base.log, &choice.start(), asked_at, &read_hints(res));
+/// Records the signals in the head of a response.
+fn observe_response(api: &Api, choice: &Choice, sent_at: Millis, res: &Response) {
+    api.requests.hints.observe(&api.requests.base.log, &choice.start(), sent_at, &read_hints(res));
 }
 
-/// The same, of an answer to what is no request, in which no limit is named.
-fn observe_closed(api: &Api, choice: &Choice, res: &Response) {
+/// Records the signals in the response to a control call, which has no rate limit header.
+fn observe_control_response(api: &Api, choice: &Choice, res: &Response) {
     api.requests.hints.observe_closed(&api.requests.base.log, &choice.start(), &read_hints(res));
 }
 
+/// Reads the signals of a server from the head of its response.
 fn read_hints(res: &Response) -> ServerHints {
     let values = |name| {
         let values = res.headers().get_all(name).iter();
@@ -153,7 +156,7 @@
     }
 }
 
-/// Resumes the stream of a run; never begins one.
+/// Resumes the stream of a run at `offset`; never starts a run. Returns `None` on failure.
 pub async fn resume_stream(
     api: &Api,
     permit: Permit,
@@ -162,43 +165,43 @@
     offset: u64,
 ) -> Option<Response> {
     let choice = permit.spend().ok()?;
-    let asked_at = api.requests.base.clock.now();
+    let sent_at = api.requests.base.clock.now();
     let url = format!("http://{}/v1/runs/{run_id}/stream", choice.address);
     let req = api.http.get(url).query(&[("offset", offset.to_string().as_str()), ("model", model)]);
     let res = req.send().await.ok()?;
-    observe(api, &choice, asked_at, &res);
+    observe_response(api, &choice, sent_at, &res);
     res.status().is_success().then_some(res)
 }
 
-/// Cancels a run and learns what it cost.
+/// Cancels a run and returns its cost, or `None` on failure.
 pub async fn cancel_run(api: &Api, choice: &Choice, run_id: &str) -> Option<CancelledRun> {
     let url = format!("http://{}/v1/runs/{run_id}/cancel", choice.address);
-    let res = api.http.post(url).timeout(SHORT_CALL).send().await.ok()?;
-    observe_closed(api, choice, &res);
+    let res = api.http.post(url).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
+    observe_control_response(api, choice, &res);
     res.error_for_status().ok()?.json().await.ok()
 }
 
-/// Counts the tokens of a prompt.
+/// Has a server count the tokens of a prompt. Returns `None` on failure.
 pub async fn count_tokens(api: &Api, permit: Permit, body: &Value) -> Option<Tokens> {
     #[derive(Deserialize)]
     struct Count {
         count: Tokens,
     }
     let choice = permit.spend().ok()?;
-    let asked_at = api.requests.base.clock.now();
+    let sent_at = api.requests.base.clock.now();
     let url = format!("http://{}/v1/tokenize", choice.address);
-    let res = api.http.post(url).json(body).timeout(SHORT_CALL).send().await.ok()?;
-    observe(api, &choice, asked_at, &res);
+    let res = api.http.post(url).json(body).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
+    observe_response(api, &choice, sent_at, &res);
     let count: Count = res.error_for_status().ok()?.json().await.ok()?;
     Some(count.count)
 }
 
-/// Asks model servers for load reports until the daemon ends.
+/// Fetches load reports of model servers periodically until the daemon ends.
 pub async fn poll_load_reports(api: Arc<Api>) {
     let interval = Duration::from_millis(api.requests.base.cfg.limits.load_report_ms);
-    let mut turn = 0;
+    let mut offset = 0;
     loop {
-        turn = read_load_reports(&api, turn).await;
+        offset = collect_load_reports(&api, offset).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
             () = api.requests.base.ended.cancelled() => return,
@@ -206,13 +209,13 @@
     }
 }
 
-/// Reads one round of load reports, so many that its cost does not grow with
-/// the servers; returns whose turn is next.
-async fn read_load_reports(api: &Arc<Api>, turn: usize) -> usize {
-    let most = api.requests.base.cfg.limits.load_reports_at_once;
-    let (servers, next) = api.requests.router.lock().servers_to_ask(most, turn);
+/// Fetches one round of load reports. Their number is limited so that the cost does not grow with
+/// the number of servers. Returns the offset for the next round.
+async fn collect_load_reports(api: &Arc<Api>, offset: usize) -> usize {
+    let max = api.requests.base.cfg.limits.load_reports_at_once;
+    let (servers, next) = api.requests.router.lock().servers_to_ask(max, offset);
     let reports = servers.into_iter().map(|choice| async move {
-        let report = read_load_report(api, &choice).await;
+        let report = fetch_load_report(api, &choice).await;
         (choice.server, report)
     });
     for (name, report) in futures::future::join_all(reports).await {
@@ -227,9 +230,10 @@
     next
 }
 
-async fn read_load_report(api: &Api, choice: &Choice) -> Option<LoadReport> {
+/// Fetches the load report of one server; `None` on failure.
+async fn fetch_load_report(api: &Api, choice: &Choice) -> Option<LoadReport> {
     let url = format!("http://{}/v1/load", choice.address);
-    let res = api.http.get(url).timeout(SHORT_CALL).send().await.ok()?;
-    observe_closed(api, choice, &res);
+    let res = api.http.get(url).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
+    observe_control_response(api, choice, &res);
     res.error_for_status().ok()?.json().await.ok()
 }
--- a/crates/daemon/src/api/chat.rs
+++ b/crates/daemon/src/api/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions` and `GET /v1/models`.
+//! Handlers of `POST /v1/chat/completions` and `GET /v1/models`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 use crate::api::response::{ATTEMPT_HEADER, ErrorResponse, KEY_HEADER, ResponseBody};
 use crate::http::read_body;
 
-/// Bytes of a prompt that decide where it goes.
+/// Length of the prompt prefix that is hashed for routing, in bytes.
 const PREFIX_BYTES: usize = 512;
 
-/// Pieces that may wait for a slow caller.
+/// Maximum number of chunks buffered for a slow caller.
 const STREAM_BUFFER: usize = 32;
 
-/// A chat request that was read and understood.
-pub struct Chat {
-    /// Who calls.
+/// A parsed and validated chat request.
+pub struct ChatRequest {
+    /// The caller and its budget.
     pub caller: Caller,
-    /// The attempt's logger.
+    /// Logger with the identifiers of the request and the attempt.
     pub log: Logger,
     body: Value,
     model: String,
@@ -49,34 +49,34 @@
     deadline: Duration,
 }
 
-/// Serves a chat request.
+/// Handles a chat request.
 #[handler]
 pub async fn complete(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let api = api_state(depot);
     let id = api.next_attempt();
     set_header(res, ATTEMPT_HEADER, &id.to_string());
-    let chat = match read_chat(&api, id, req).await {
+    let chat = match parse_chat_request(&api, id, req).await {
         Ok(chat) => chat,
-        Err(problem) => return problem.render(res),
+        Err(error) => return error.render(res),
     };
     set_header(res, KEY_HEADER, &chat.caller.key);
     let (tx, rx) = oneshot::channel();
-    // A task of its own: a caller that goes away must not cut off accounting.
+    // Runs in its own task, so that a caller that disconnects does not cancel the accounting.
     let serving = serve(Arc::clone(&api), chat, id, tx);
     api.requests.in_flight.spawn(serving);
     match rx.await {
-        Ok(Ok(ResponseBody::Stream(pieces))) => {
+        Ok(Ok(ResponseBody::Stream(chunks))) => {
             res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-            res.stream(futures::stream::unfold(pieces, |mut pieces| async {
-                let piece = pieces.recv().await?;
-                Some((Ok::<_, std::io::Error>(piece), pieces))
+            res.stream(futures::stream::unfold(chunks, |mut chunks| async {
+                let chunk = chunks.recv().await?;
+                Some((Ok::<_, std::io::Error>(chunk), chunks))
             }));
         }
         Ok(Ok(ResponseBody::Complete(body))) => {
             res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
             res.body(body);
         }
-        Ok(Err(problem)) => problem.render(res),
+        Ok(Err(error)) => error.render(res),
         Err(_) => ErrorResponse::unknown("internal", "the request was dropped").render(res),
     }
 }
@@ -87,7 +87,7 @@
     let api = api_state(depot);
     let caller = match identify_caller(&api, req) {
         Ok(caller) => caller,
-        Err(problem) => return problem.render(res),
+        Err(error) => return error.render(res),
     };
     let routes = caller.table.routes.iter().filter_map(|route| match &route.target {
         RouteTarget::Model { model } => Some(json!({"id": model, "object": "model"})),
@@ -96,14 +96,22 @@
     res.render(Json(json!({"object": "list", "data": routes.collect::<Vec<_>>()})));
 }
 
-/// Puts a header whose value is known to be plain text.
+/// Sets a response header; does nothing if `value` is not valid in a header.
 pub fn set_header(res: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
 }
 
-async fn read_chat(api: &Api, id: AttemptId, req: &mut Request) -> Result<Chat, ErrorResponse> {
+/// Reads and validates a chat request.
+///
+/// # Errors
+/// The response to the caller if the request is invalid.
+async fn parse_chat_request(
+    api: &Api,
+    id: AttemptId,
+    req: &mut Request,
+) -> Result<ChatRequest, ErrorResponse> {
     let caller = identify_caller(api, req)?;
     let bytes = read_body(&api.requests.base.cfg.limits, req).await?;
     let body: Value = serde_json::from_slice(&bytes)
@@ -133,7 +141,7 @@
         .base
         .log
         .new(o!("request" => caller.request.to_string(), "attempt" => id.to_string()));
-    Ok(Chat {
+    Ok(ChatRequest {
         log,
         prefix: xxh3_64(prefix),
         prompt_bytes: messages.len(),
@@ -148,9 +156,10 @@
     })
 }
 
+/// Serves a request and sends the response through `tx`, then completes its accounting.
 async fn serve(
     api: Arc<Api>,
-    chat: Chat,
+    chat: ChatRequest,
     id: AttemptId,
     mut tx: oneshot::Sender<Result<ResponseBody, ErrorResponse>>,
 ) {
@@ -162,30 +171,34 @@
             () = tx.closed() => {}
         }
     };
-    let run = match start(&api, chat, id, interrupt).await {
+    let run = match start_run(&api, chat, id, interrupt).await {
         Ok(run) => run,
-        Err(problem) => {
-            api.requests.base.metrics.count(problem.code());
-            // A caller that went away needs no answer; nothing ran.
-            let _gone = tx.send(Err(problem));
+        Err(error) => {
+            api.requests.base.metrics.count(error.code());
+            // Fails if the caller has disconnected: no response is needed, and the
+            // attempt is already settled.
+            let _gone = tx.send(Err(error));
             return;
         }
     };
     api.requests.base.metrics.time("time_to_answer", api.requests.base.clock.now() - started);
     if run.stream {
-        let (pieces_tx, pieces_rx) = mpsc::channel(STREAM_BUFFER);
-        // When the caller has gone, the pump sees its channel closed.
-        let _gone = tx.send(Ok(ResponseBody::Stream(pieces_rx)));
-        delivery::deliver_stream(&api, run, pieces_tx, deadline).await;
+        let (chunks_tx, chunks_rx) = mpsc::channel(STREAM_BUFFER);
+        // Fails if the caller has disconnected: `deliver_stream` then finds its channel closed.
+        let _gone = tx.send(Ok(ResponseBody::Stream(chunks_rx)));
+        delivery::deliver_stream(&api, run, chunks_tx, deadline).await;
     } else {
         delivery::deliver_complete(&api, run, tx, deadline).await;
     }
 }
 
-/// Admits, claims and dispatches a request.
-async fn start(
+/// Admits a request, claims it if it must not run twice, and dispatches it.
+///
+/// # Errors
+/// The response to the caller if the request is refused or no server has begun to respond.
+async fn start_run(
     api: &Arc<Api>,
-    chat: Chat,
+    chat: ChatRequest,
     id: AttemptId,
     interrupt: impl Future<Output = ()>,
 ) -> Result<Run, ErrorResponse> {
@@ -196,14 +209,16 @@
     }
     let run_id =
         format!("{}-{:016x}", chat.caller.request, xxh3_64(chat.body.to_string().as_bytes()));
-    let outgoing = outgoing(&chat, run_id.clone(), id);
-    let need = need(&chat);
-    let placed = match placement::place(api, attempt, &need, &outgoing, interrupt).await {
+    let backend_request = backend_request(&chat, run_id.clone(), id);
+    let request = placement_request(&chat);
+    let placed = match placement::place(api, attempt, &request, &backend_request, interrupt).await {
         Ok(placed) => placed,
-        Err(NotPlaced::Refused(problem)) => return Err(problem),
-        Err(NotPlaced::Interrupted(given_up)) => {
+        Err(NotPlaced::Refused(error)) => return Err(error),
+        Err(NotPlaced::Interrupted(interrupted)) => {
             let budget = chat.caller.budget.name;
-            return Err(delivery::abort_interrupted(api, chat.log, budget, &run_id, given_up).await);
+            return Err(
+                delivery::abort_interrupted(api, chat.log, budget, &run_id, interrupted).await
+            );
         }
     };
     slog::info!(chat.log, "dispatched"; "server" => %placed.choice.server);
@@ -218,23 +233,24 @@
     })
 }
 
-fn need(chat: &Chat) -> PlacementRequest<'_> {
+/// Returns the requirements of a chat request for its server.
+fn placement_request(chat: &ChatRequest) -> PlacementRequest<'_> {
     PlacementRequest {
         pool: &chat.model,
         prefix: chat.prefix,
         kind: ServerKind::Model,
-        request: chat.caller.request,
+        hash: chat.caller.request,
         workspace: &chat.caller.workspace,
         homes: Homes { route: &chat.route_homes, workspace: &chat.caller.homes },
         claimed: !chat.repeatable,
     }
 }
 
-/// Sets the greatest cost aside. A prompt has at most as many tokens as bytes;
-/// where that is too much, the budget's row may ask for an exact count.
+/// Reserves the maximum cost. A prompt has at most as many tokens as bytes; if the budget does not
+/// cover that bound, its row may request an exact count.
 async fn admit(
     api: &Arc<Api>,
-    chat: &Chat,
+    chat: &ChatRequest,
     attempt: Attempt<Received>,
 ) -> Result<Attempt<Admitted>, ErrorResponse> {
     let bound = chat.prompt_bytes as Tokens + chat.max_tokens;
@@ -244,7 +260,7 @@
         Err(refused) => refused,
     };
     let exact = match budget.when_short {
-        ShortagePolicy::Count => count(api, chat).await,
+        ShortagePolicy::Count => count_tokens(api, chat).await,
         ShortagePolicy::Refuse => None,
     };
     let Some(exact) = exact.filter(|exact| *exact < bound) else {
@@ -258,13 +274,16 @@
     }
 }
 
-async fn count(api: &Arc<Api>, chat: &Chat) -> Option<Tokens> {
-    let permit = placement::choose_server(api, &need(chat), &[], None).await.ok()?;
+/// Returns the maximum cost with the prompt's tokens counted by a server, or `None` on failure.
+async fn count_tokens(api: &Arc<Api>, chat: &ChatRequest) -> Option<Tokens> {
+    let permit = placement::choose_server(api, &placement_request(chat), &[], None).await.ok()?;
     let prompt = backend::count_tokens(api, permit, &chat.body).await?;
     Some(prompt + chat.max_tokens)
 }
 
-fn outgoing(chat: &Chat, run_id: String, attempt: AttemptId) -> BackendRequest {
+/// Returns the request to the engine: the caller's body with the output limit and, for a stream,
+/// the option to report usage set.
+fn backend_request(chat: &ChatRequest, run_id: String, attempt: AttemptId) -> BackendRequest {
     let mut body = chat.body.clone();
     body["max_tokens"] = json!(chat.max_tokens);
     if chat.stream {
--- a/crates/daemon/src/api/delivery.rs
+++ b/crates/daemon/src/api/delivery.rs
@@ -1,8 +1,8 @@
-//! Carries an answer from a backend server to its caller, then accounts for it.
+//! Delivery of a response from a backend server to the caller, with settlement and billing.
 //!
-//! The end of an answer is held back until its bill is safe. A stream that
-//! breaks is resumed at the same server; a caller that goes away cancels its
-//! run and is billed for what ran.
+//! The end of a response is withheld until its bill is stored or copied to peers. A stream that
+//! breaks off is resumed at the same server. When a caller disconnects, its run is cancelled and
+//! the tokens used so far are billed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,147 +26,150 @@
 use crate::bill::bills::{self, Billed};
 use crate::hints::permit::NoPermit;
 
-/// Text that ends a stream.
-const END: &[u8] = b"data: [DONE]\n\n";
+/// Event that ends a stream.
+const END_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// Tries to resume a stream without any new piece between them.
-const RESUME_TRIES: u32 = 3;
+/// Maximum number of consecutive attempts to resume a stream without a new chunk in between.
+const MAX_RESUME_TRIES: u32 = 3;
 
-/// Pause before a stream is resumed, longer with each try that brought nothing.
+/// Delay before a stream is resumed, multiplied by the number of the attempt since the last new
+/// chunk.
 const RESUME_PAUSE: Duration = Duration::from_millis(10);
 
-/// Longest wait for a permit before a stream's next try to resume.
-const LONGEST_PERMIT_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait after a refused permit before the next attempt to resume a stream.
+const MAX_PERMIT_WAIT: Duration = Duration::from_secs(1);
 
-/// How long the end of an answer waits for a caller that does not read.
-const END_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for sending the end of a response to a caller that does not read.
+const END_SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When to come back after an unknown outcome.
+/// Retry delay after an unknown outcome.
 const RETRY_UNKNOWN_MS: u64 = 500;
 
-/// A run at an engine.
+/// A run of a chat request on an engine.
 pub struct Run {
-    /// The attempt's logger.
+    /// Logger with the identifiers of the request and the attempt.
     pub log: Logger,
-    /// The budget that pays.
+    /// The budget that is charged.
     pub budget: Name,
     /// The model.
     pub model: String,
-    /// Name of the run.
+    /// Identifier of the run.
     pub run_id: String,
-    /// Output limit.
+    /// Maximum number of output tokens.
     pub max_tokens: Tokens,
-    /// Whether the caller wants pieces.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Where it runs.
+    /// The dispatched attempt, its server and the response.
     pub placed: Placed,
 }
 
-/// What remains to be accounted for once the answer has been carried.
-struct Account {
+/// Data for settling and billing an attempt once its response is complete.
+struct Settlement {
     log: Logger,
     budget: Name,
     attempt: Attempt<Dispatched>,
-    /// Whether the run was begun, and so paid for, by another attempt.
+    /// Whether another attempt has started the run and therefore pays for it.
     attached: bool,
 }
 
-/// How the carrying of a stream ended.
-enum Ending {
-    /// The last piece has come.
-    Last(Usage, Bytes),
+/// Reason why the delivery of a stream ended.
+enum StreamEnd {
+    /// The last chunk was received; it is not sent yet.
+    Complete(Usage, Bytes),
     /// The run was cancelled by another attempt.
     Cancelled,
-    /// The caller has gone.
-    CallerGone,
+    /// The caller has disconnected.
+    CallerDisconnected,
     /// The deadline has passed.
-    Late,
-    /// The server has broken off and can't be resumed, or does not keep to
-    /// its own protocol.
+    DeadlinePassed,
+    /// The server has broken off and the stream can't be resumed, or the server has violated the
+    /// protocol.
     ServerLost,
 }
 
 #[derive(Deserialize)]
-struct WholeAnswer {
+struct CompleteResponse {
     id: String,
     usage: Usage,
     #[serde(default)]
     choices: Vec<crate::api::sse::Choice>,
 }
 
+/// Returns whether the run was started by another attempt, according to the response headers.
 fn is_attached(res: &Response) -> bool {
     res.headers().get("x-run").is_some_and(|value| value == "attached")
 }
 
-/// Carries a stream to its caller.
+/// Delivers a stream to the caller through `chunks`; settles and bills the attempt before the last
+/// chunk is sent.
 pub async fn deliver_stream(
     api: &Arc<Api>,
     run: Run,
-    pieces: mpsc::Sender<Bytes>,
+    chunks: mpsc::Sender<Bytes>,
     deadline: Millis,
 ) {
     let Run { log, budget, model, run_id, max_tokens, placed, .. } = run;
     let Placed { attempt, choice, res, mut open, fingerprint } = placed;
-    let account = Account { log, budget, attempt, attached: is_attached(&res) };
-    let mut carrier = Carrier {
+    let settlement = Settlement { log, budget, attempt, attached: is_attached(&res) };
+    let mut relay = StreamRelay {
         api,
-        log: &account.log,
+        log: &settlement.log,
         choice: &choice,
         model: &model,
         run_id: &run_id,
         max_tokens,
         sequence: ChunkSequence::new(run_id.clone()),
-        pieces: &pieces,
+        chunks: &chunks,
     };
-    let ending = tokio::select! {
-        ending = carrier.carry(res) => ending,
-        () = api.requests.base.clock.sleep_until(deadline) => Ending::Late,
+    let end = tokio::select! {
+        end = relay.relay(res) => end,
+        () = api.requests.base.clock.sleep_until(deadline) => StreamEnd::DeadlinePassed,
     };
-    match ending {
-        Ending::Last(usage, last) => {
+    match end {
+        StreamEnd::Complete(usage, last) => {
             api.requests.crashes.succeeded(|| fingerprint);
-            settle_and_bill(api, account, usage).await;
-            send_end(&pieces, last).await;
+            settle_and_bill(api, settlement, usage).await;
+            send_end(&chunks, last).await;
         }
-        Ending::CallerGone => cancel_and_bill(api, account, &choice, &run_id).await,
-        Ending::Late => {
-            cancel_and_bill(api, account, &choice, &run_id).await;
-            send_problem(&pieces, &late()).await;
+        StreamEnd::CallerDisconnected => cancel_and_bill(api, settlement, &choice, &run_id).await,
+        StreamEnd::DeadlinePassed => {
+            cancel_and_bill(api, settlement, &choice, &run_id).await;
+            send_error(&chunks, &deadline_response()).await;
         }
-        Ending::Cancelled | Ending::ServerLost => {
+        StreamEnd::Cancelled | StreamEnd::ServerLost => {
             open.record_failure();
-            // A server that did not keep to its protocol is there, which is found out.
+            // After a protocol violation the server may be running: the crash check finds that out.
             api.requests.crashes.broke_off(&choice, fingerprint);
-            give_up(api, account);
-            send_problem(&pieces, &server_lost()).await;
+            finish_unknown(api, settlement);
+            send_error(&chunks, &server_lost_response()).await;
         }
     }
     drop(open);
 }
 
-/// Sends the held-back end of an answer. A caller that went away only now, or
-/// does not read on, has been billed for a whole run.
-async fn send_end(pieces: &mpsc::Sender<Bytes>, last: Bytes) {
+/// Sends the withheld end of a stream. A caller that has disconnected since, or has stopped
+/// reading, is billed for the complete run.
+async fn send_end(chunks: &mpsc::Sender<Bytes>, last: Bytes) {
     let sending = async {
-        pieces.send(last).await?;
-        pieces.send(Bytes::from_static(END)).await
+        chunks.send(last).await?;
+        chunks.send(Bytes::from_static(END_EVENT)).await
     };
-    let _unread = tokio::time::timeout(END_PATIENCE, sending).await;
+    let _unread = tokio::time::timeout(END_SEND_TIMEOUT, sending).await;
 }
 
-async fn send_problem(pieces: &mpsc::Sender<Bytes>, problem: &ErrorResponse) {
-    let event = Bytes::from(format!("data: {}\n\n", problem.body()));
-    // A caller that went away, or does not read, needs no answer.
-    let _unread = tokio::time::timeout(END_PATIENCE, pieces.send(event)).await;
+async fn send_error(chunks: &mpsc::Sender<Bytes>, error: &ErrorResponse) {
+    let event = Bytes::from(format!("data: {}\n\n", error.body()));
+    // Fails if the caller has disconnected or does not read; no response is needed then.
+    let _unread = tokio::time::timeout(END_SEND_TIMEOUT, chunks.send(event)).await;
 }
 
-fn server_lost() -> ErrorResponse {
+fn server_lost_response() -> ErrorResponse {
     let message = "the server broke off; retry with the same idempotency key";
     ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
-/// Ends a run that was given up before its answer began; returns what the
-/// caller is told, if it still listens.
+/// Cancels and bills a run that was interrupted before its response began. Returns the response
+/// for the caller if it is still connected.
 pub async fn abort_interrupted(
     api: &Arc<Api>,
     log: Logger,
@@ -175,17 +178,18 @@
     interrupted: Interrupted,
 ) -> ErrorResponse {
     let Interrupted { attempt, choice, open } = interrupted;
-    let account = Account { log, budget, attempt, attached: false };
-    cancel_and_bill(api, account, &choice, run_id).await;
+    let settlement = Settlement { log, budget, attempt, attached: false };
+    cancel_and_bill(api, settlement, &choice, run_id).await;
     drop(open);
-    late()
+    deadline_response()
 }
 
-fn late() -> ErrorResponse {
+fn deadline_response() -> ErrorResponse {
     ErrorResponse::unknown("deadline", "the route's deadline has passed")
 }
 
-/// Carries a whole answer to its caller.
+/// Receives a complete response, settles and bills the attempt, then delivers the response to the
+/// caller through `tx`.
 pub async fn deliver_complete(
     api: &Arc<Api>,
     run: Run,
@@ -194,39 +198,41 @@
 ) {
     let Run { log, budget, run_id, placed, .. } = run;
     let Placed { attempt, choice, res, mut open, fingerprint } = placed;
-    let account = Account { log, budget, attempt, attached: is_attached(&res) };
+    let settlement = Settlement { log, budget, attempt, attached: is_attached(&res) };
     let body = tokio::select! {
         body = res.bytes() => body.ok(),
-        () = tx.closed() => return cancel_and_bill(api, account, &choice, &run_id).await,
+        () = tx.closed() => return cancel_and_bill(api, settlement, &choice, &run_id).await,
         () = api.requests.base.clock.sleep_until(deadline) => {
-            cancel_and_bill(api, account, &choice, &run_id).await;
-            // A caller that went away needs no answer.
-            let _gone = tx.send(Err(late()));
+            cancel_and_bill(api, settlement, &choice, &run_id).await;
+            // Fails if the caller has disconnected; no response is needed then.
+            let _gone = tx.send(Err(deadline_response()));
             return;
         }
     };
-    let answer = body.as_ref().and_then(|body| serde_json::from_slice::<WholeAnswer>(body).ok());
-    let cancelled = |answer: &WholeAnswer| {
-        answer.choices.iter().any(|choice| choice.finish_reason.as_deref() == Some("cancelled"))
+    let response =
+        body.as_ref().and_then(|body| serde_json::from_slice::<CompleteResponse>(body).ok());
+    let cancelled = |response: &CompleteResponse| {
+        response.choices.iter().any(|choice| choice.finish_reason.as_deref() == Some("cancelled"))
     };
-    match (answer, body) {
-        (Some(answer), Some(body)) if answer.id == run_id && !cancelled(&answer) => {
+    match (response, body) {
+        (Some(response), Some(body)) if response.id == run_id && !cancelled(&response) => {
             api.requests.crashes.succeeded(|| fingerprint);
-            settle_and_bill(api, account, answer.usage).await;
-            // A caller that went away only now has been billed for a whole run.
+            settle_and_bill(api, settlement, response.usage).await;
+            // Fails if the caller has just disconnected; it is billed for the complete run.
             let _gone = tx.send(Ok(ResponseBody::Complete(body)));
         }
         _ => {
             open.record_failure();
             api.requests.crashes.broke_off(&choice, fingerprint);
-            give_up(api, account);
-            // A caller that went away needs no answer.
-            let _gone = tx.send(Err(server_lost()));
+            finish_unknown(api, settlement);
+            // Fails if the caller has disconnected; no response is needed then.
+            let _gone = tx.send(Err(server_lost_response()));
         }
     }
 }
 
-struct Carrier<'a> {
+/// Relays the chunks of a stream to the caller and resumes the stream after interruptions.
+struct StreamRelay<'a> {
     api: &'a Arc<Api>,
     log: &'a Logger,
     choice: &'a bankcove_core::router::Choice,
@@ -234,30 +240,31 @@
     run_id: &'a str,
     max_tokens: Tokens,
     sequence: ChunkSequence,
-    pieces: &'a mpsc::Sender<Bytes>,
+    chunks: &'a mpsc::Sender<Bytes>,
 }
 
-/// What became of one event.
-enum Step {
-    GoOn,
+/// Action to take after an event.
+enum EventAction {
+    Continue,
     Resume,
-    End(Ending),
+    End(StreamEnd),
 }
 
-impl Carrier<'_> {
-    async fn carry(&mut self, first: Response) -> Ending {
+impl StreamRelay<'_> {
+    /// Relays the stream, across resumed connections, until it ends.
+    async fn relay(&mut self, first: Response) -> StreamEnd {
         let mut res = Some(first);
         let mut tries = 0;
         loop {
             let before = self.sequence.next();
             if let Some(res) = res.take()
-                && let Some(ending) = self.carry_connection(res).await
+                && let Some(end) = self.relay_connection(res).await
             {
-                return ending;
+                return end;
             }
             tries = if self.sequence.next() > before { 1 } else { tries + 1 };
-            if tries > RESUME_TRIES {
-                return Ending::ServerLost;
+            if tries > MAX_RESUME_TRIES {
+                return StreamEnd::ServerLost;
             }
             tokio::time::sleep(RESUME_PAUSE * tries).await;
             slog::info!(self.log, "stream resumed"; "offset" => self.sequence.next());
@@ -266,14 +273,15 @@
             let permit = match hints.permit(self.log, self.choice.clone(), 0).await {
                 Ok(permit) => permit,
                 Err(no_permit) => {
-                    // The run goes on there, and what it makes is kept.
+                    // The run continues on the server, which keeps its output.
                     let wait = match no_permit {
                         NoPermit::AtLimit(at_limit) => at_limit.first_ms,
                         NoPermit::Closed(Closed::Resting { left_ms }) => left_ms,
-                        // A server that leaves takes no request for the rest of the stream.
-                        NoPermit::Closed(Closed::Leaving) => return Ending::ServerLost,
+                        // A server that is shutting down accepts no request for the rest of the
+                        // stream.
+                        NoPermit::Closed(Closed::Leaving) => return StreamEnd::ServerLost,
                     };
-                    tokio::time::sleep(Duration::from_millis(wait).min(LONGEST_PERMIT_WAIT)).await;
+                    tokio::time::sleep(Duration::from_millis(wait).min(MAX_PERMIT_WAIT)).await;
                     continue;
                 }
             };
@@ -281,78 +289,80 @@
         }
     }
 
-    /// Carries one connection; none when the stream has to be resumed.
-    async fn carry_connection(&mut self, mut res: Response) -> Option<Ending> {
+    /// Relays the chunks of one connection. Returns `None` if the stream has to be resumed.
+    async fn relay_connection(&mut self, mut res: Response) -> Option<StreamEnd> {
         let mut splitter = EventSplitter::default();
         loop {
-            let chunk = tokio::select! {
-                chunk = res.chunk() => chunk,
-                () = self.pieces.closed() => return Some(Ending::CallerGone),
+            let data = tokio::select! {
+                data = res.chunk() => data,
+                () = self.chunks.closed() => return Some(StreamEnd::CallerDisconnected),
             };
-            let Ok(Some(chunk)) = chunk else { return None };
-            splitter.push(&chunk);
+            let Ok(Some(data)) = data else { return None };
+            splitter.push(&data);
             while let Some(event) = splitter.next_event() {
-                match self.take(event).await {
-                    Step::GoOn => {}
-                    Step::Resume => return None,
-                    Step::End(ending) => return Some(ending),
+                match self.process_event(event).await {
+                    EventAction::Continue => {}
+                    EventAction::Resume => return None,
+                    EventAction::End(end) => return Some(end),
                 }
             }
         }
     }
 
-    async fn take(&mut self, event: Event) -> Step {
-        let (piece, raw) = match event {
-            Event::Chunk(piece, raw) => (piece, raw),
-            // The last piece comes before the end mark and has ended the loop.
-            Event::End | Event::Unreadable => return Step::Resume,
+    /// Delivers the chunk of an event if it is the next one of this run.
+    async fn process_event(&mut self, event: Event) -> EventAction {
+        let (chunk, raw) = match event {
+            Event::Chunk(chunk, raw) => (chunk, raw),
+            // The last chunk precedes the end event and has already ended the loop.
+            Event::End | Event::Malformed => return EventAction::Resume,
         };
-        let offset = piece.offset.unwrap_or(self.sequence.next());
-        match self.sequence.accept(&piece.id, offset) {
-            SequenceCheck::Deliver => self.deliver(&piece, raw).await,
-            SequenceCheck::Duplicate => Step::GoOn,
-            SequenceCheck::Gap => Step::Resume,
+        let offset = chunk.offset.unwrap_or(self.sequence.next());
+        match self.sequence.accept(&chunk.id, offset) {
+            SequenceCheck::Deliver => self.deliver(&chunk, raw).await,
+            SequenceCheck::Duplicate => EventAction::Continue,
+            SequenceCheck::Gap => EventAction::Resume,
             SequenceCheck::WrongRun => {
-                slog::warn!(self.log, "foreign piece dropped"; "offset" => offset);
-                Step::GoOn
+                slog::warn!(self.log, "dropped chunk of another run"; "offset" => offset);
+                EventAction::Continue
             }
         }
     }
 
-    async fn deliver(&mut self, piece: &Chunk, raw: Bytes) -> Step {
-        if piece.is_cancelled() {
-            return Step::End(Ending::Cancelled);
+    /// Sends a chunk to the caller, unless it ends the stream.
+    async fn deliver(&mut self, chunk: &Chunk, raw: Bytes) -> EventAction {
+        if chunk.is_cancelled() {
+            return EventAction::End(StreamEnd::Cancelled);
         }
-        if piece.is_last() {
-            let Some(usage) = piece.usage else { return Step::End(Ending::ServerLost) };
-            return Step::End(Ending::Last(usage, raw));
+        if chunk.is_last() {
+            let Some(usage) = chunk.usage else { return EventAction::End(StreamEnd::ServerLost) };
+            return EventAction::End(StreamEnd::Complete(usage, raw));
         }
         if self.sequence.next() > self.max_tokens {
-            // More than was asked for, and more than is paid for.
-            return Step::End(Ending::ServerLost);
+            // The server has generated more tokens than requested and reserved.
+            return EventAction::End(StreamEnd::ServerLost);
         }
-        match self.pieces.send(raw).await {
-            Ok(()) => Step::GoOn,
-            Err(_) => Step::End(Ending::CallerGone),
+        match self.chunks.send(raw).await {
+            Ok(()) => EventAction::Continue,
+            Err(_) => EventAction::End(StreamEnd::CallerDisconnected),
         }
     }
 }
 
-/// Settles the reservation, then has the request billed.
-async fn settle_and_bill(api: &Arc<Api>, account: Account, usage: Usage) {
+/// Settles the reservation and bills the request.
+async fn settle_and_bill(api: &Arc<Api>, settlement: Settlement, usage: Usage) {
     let tokens = usage.prompt_tokens + usage.completion_tokens;
-    // A run that another attempt began is paid for by that attempt's grant.
-    let spent = if account.attached { 0 } else { tokens };
-    let request = account.attempt.request;
-    let attempt = account.attempt.id;
-    if tokens > account.attempt.limit() {
-        slog::error!(account.log, "the engine says more than the limit"; "tokens" => tokens);
+    // A run that another attempt started is paid for by the reservation of that attempt.
+    let spent = if settlement.attached { 0 } else { tokens };
+    let request = settlement.attempt.request;
+    let attempt = settlement.attempt.id;
+    if tokens > settlement.attempt.limit() {
+        slog::error!(settlement.log, "engine reported more tokens than the limit"; "tokens" => tokens);
     }
-    let _finished = account.attempt.finish(&mut api.requests.budgets.holder(), Some(spent));
+    let _finished = settlement.attempt.finish(&mut api.requests.budgets.holder(), Some(spent));
     let bill = Bill {
         request,
         attempt,
-        budget: account.budget,
+        budget: settlement.budget,
         prompt_tokens: usage.prompt_tokens,
         output_tokens: usage.completion_tokens,
     };
@@ -361,13 +371,13 @@
         api.requests.base.metrics.count("bill.repeat");
     }
     api.requests.base.metrics.count("request.done");
-    slog::info!(account.log, "done"; "tokens" => tokens, "bill" => ?billed);
+    slog::info!(settlement.log, "done"; "tokens" => tokens, "bill" => ?billed);
 }
 
-/// Ends a run that nobody waits for, and bills what ran.
+/// Cancels a run whose caller no longer waits for it, and bills the tokens used.
 async fn cancel_and_bill(
     api: &Arc<Api>,
-    account: Account,
+    settlement: Settlement,
     choice: &bankcove_core::router::Choice,
     run_id: &str,
 ) {
@@ -376,16 +386,17 @@
         Some(run) => {
             let usage =
                 Usage { prompt_tokens: run.prompt_tokens, completion_tokens: run.output_tokens };
-            settle_and_bill(api, account, usage).await;
+            settle_and_bill(api, settlement, usage).await;
         }
-        None => give_up(api, account),
+        None => finish_unknown(api, settlement),
     }
 }
 
-/// What ran is not known: the whole reservation counts as spent.
-fn give_up(api: &Arc<Api>, account: Account) {
+/// Ends an attempt of unknown cost: the whole reservation counts as spent, or nothing if another
+/// attempt pays for the run.
+fn finish_unknown(api: &Arc<Api>, settlement: Settlement) {
     api.requests.base.metrics.count("request.unknown");
-    slog::warn!(account.log, "outcome unknown");
-    let used = account.attached.then_some(0);
-    let _finished = account.attempt.finish(&mut api.requests.budgets.holder(), used);
+    slog::warn!(settlement.log, "outcome unknown");
+    let used = settlement.attached.then_some(0);
+    let _finished = settlement.attempt.finish(&mut api.requests.budgets.holder(), used);
 }
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -1,5 +1,5 @@
-//! Dispatch of an admitted attempt: chooses a server, and another one for as
-//! long as it is proved that nothing ran.
+//! Dispatch of an admitted attempt to a backend server, and retries on other servers as long as it
+//! is proved that the request was not executed.
 
 use std::sync::Arc;
 
@@ -19,146 +19,145 @@
 use crate::hints::permit::Permit;
 use crate::requests::open_request::OpenRequest;
 
-/// When to come back when no server is usable.
+/// Retry delay when no server is usable.
 const RETRY_NO_SERVER_MS: u64 = 1_000;
 
-/// When to come back after an unknown outcome.
+/// Retry delay after an unknown outcome.
 const RETRY_UNKNOWN_MS: u64 = 500;
 
-/// An attempt that a server has begun to answer.
+/// An attempt to which a server has begun to respond.
 pub struct Placed {
     /// The attempt.
     pub attempt: Attempt<Dispatched>,
     /// The server.
     pub choice: Choice,
-    /// The beginning of its answer.
+    /// The response, of which the headers have been received.
     pub res: Response,
-    /// Ends the server's count of open requests.
+    /// Counts the request as open at the server until dropped.
     pub open: OpenRequest,
-    /// What was asked for.
+    /// Content hash of the request.
     pub fingerprint: Fingerprint,
 }
 
-/// What a request needs of a server.
+/// Requirements of a request for the server that runs it.
 pub struct PlacementRequest<'a> {
-    /// The router's pool.
+    /// The pool: a model's name, or a service route's name.
     pub pool: &'a str,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// What kind of server it is.
+    /// Kind of the server.
     pub kind: ServerKind,
-    /// The request.
-    pub request: RequestHash,
-    /// Who asks.
+    /// Hash that identifies the request.
+    pub hash: RequestHash,
+    /// Workspace of the caller.
     pub workspace: &'a Name,
-    /// Regions that may serve it.
+    /// Regions that may serve the request.
     pub homes: Homes<'a>,
-    /// Whether a claim has to be given up when nothing ran.
+    /// Whether the request was claimed; the claim is released if the request does not run.
     pub claimed: bool,
 }
 
-/// Chooses a server for a request and takes a permit for it.
+/// Chooses a server for a request and acquires a permit to send to it.
 ///
 /// # Errors
-/// [`NoServer`] when none is to be had.
+/// [`NoServer`] if no server is usable.
 pub async fn choose_server(
     api: &Api,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     tried: &[Name],
-    place: Option<Placement>,
+    placement: Option<Placement>,
 ) -> Result<Permit, NoServer> {
-    // One that gave no permit is not chosen again for a while.
+    // Terminates: a server without a permit is not chosen again for some time.
     loop {
-        let choice = choose_at(api, need, tried, place)?;
+        let choice = choose_with_placement(api, request, tried, placement)?;
         if let Ok(permit) = api.requests.hints.permit(&api.requests.base.log, choice, 0).await {
             return Ok(permit);
         }
     }
 }
 
-/// Chooses a server, at its place for a suspect.
-fn choose_at(
+/// Chooses a server; `placement` restricts the choice for a suspect request.
+fn choose_with_placement(
     api: &Api,
-    need: &PlacementRequest,
+    request: &PlacementRequest,
     tried: &[Name],
-    place: Option<Placement>,
+    placement: Option<Placement>,
 ) -> Result<Choice, NoServer> {
-    let wanted = RoutingRequest {
-        pool: need.pool,
-        prefix: place.map_or(need.prefix, |place| place.key),
+    let routing_request = RoutingRequest {
+        pool: request.pool,
+        prefix: placement.map_or(request.prefix, |placement| placement.key),
         prompt_tokens: 0,
         hour: api.requests.base.clock.hour(),
         seed: rand::random(),
         tried,
-        homes: need.homes,
+        homes: request.homes,
     };
-    let rank = place.map_or(0, |place| place.rank);
-    api.requests.router.lock().choose_ranked(api.requests.base.clock.now(), &wanted, rank)
+    let rank = placement.map_or(0, |placement| placement.rank);
+    api.requests.router.lock().choose_ranked(api.requests.base.clock.now(), &routing_request, rank)
 }
 
-/// Why no server has begun to answer.
+/// Reason why no server has begun to respond to an attempt.
 pub enum NotPlaced {
-    /// The answer for the caller.
+    /// The request was refused or its server lost, with this response to the caller.
     Refused(ErrorResponse),
-    /// The interrupt came first; the request may run at that server.
+    /// The attempt was interrupted; the request may be running on the server.
     Interrupted(Interrupted),
 }
 
-/// An attempt that was given up while a server had it.
+/// An attempt that was interrupted after dispatch.
 pub struct Interrupted {
     /// The attempt.
     pub attempt: Attempt<Dispatched>,
     /// The server.
     pub choice: Choice,
-    /// Ends the server's count of open requests.
+    /// Counts the request as open at the server until dropped.
     pub open: OpenRequest,
 }
 
-/// Dispatches an attempt, unless `interrupt` ends before a server has begun to
-/// answer.
+/// Dispatches an attempt and waits until a server begins to respond or `interrupt` completes.
 ///
 /// # Errors
-/// [`NotPlaced`] tells why no server has begun to answer.
+/// [`NotPlaced`] with the reason why no server has begun to respond.
 pub async fn place(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    need: &PlacementRequest<'_>,
-    outgoing: &BackendRequest,
+    request: &PlacementRequest<'_>,
+    backend_request: &BackendRequest,
     interrupt: impl Future<Output = ()>,
 ) -> Result<Placed, NotPlaced> {
     tokio::pin!(interrupt);
-    let fingerprint = outgoing.fingerprint(need.workspace);
-    let passed = pass_crashes(api, attempt, need, fingerprint).await;
-    let (mut attempt, mut apart) = passed.map_err(NotPlaced::Refused)?;
-    let place = api.requests.crashes.place(|| fingerprint);
+    let fingerprint = backend_request.fingerprint(request.workspace);
+    let checked = check_crashes(api, attempt, request, fingerprint).await;
+    let (mut attempt, mut isolated_run) = checked.map_err(NotPlaced::Refused)?;
+    let placement = api.requests.crashes.place(|| fingerprint);
     let mut tried = Vec::new();
-    let mut none = NoServer::NoneUsable;
+    let mut no_server = NoServer::NoneUsable;
     while tried.len() < api.requests.base.cfg.limits.max_tries {
-        let permit = match choose_server(api, need, &tried, place).await {
+        let permit = match choose_server(api, request, &tried, placement).await {
             Ok(permit) => permit,
-            Err(why) => {
-                none = why;
+            Err(reason) => {
+                no_server = reason;
                 break;
             }
         };
         let choice = permit.choice().clone();
-        if !may_use(api, &choice.server) {
+        if !may_dispatch_to(api, &choice.server) {
             tried.push(choice.server);
             continue;
         }
         let mut open = OpenRequest::new(&api.requests, &choice, 0);
         let dispatched = attempt.dispatch();
-        let dispatching = backend::dispatch(api, permit, outgoing.clone(), need.kind);
-        let answer = tokio::select! {
-            answer = dispatching => answer,
+        let dispatching = backend::dispatch(api, permit, backend_request.clone(), request.kind);
+        let response = tokio::select! {
+            response = dispatching => response,
             () = &mut interrupt => {
                 let interrupted = Interrupted { attempt: dispatched, choice, open };
                 return Err(NotPlaced::Interrupted(interrupted));
             }
         };
-        match answer {
+        match response {
             Ok(res) => {
-                open.isolated_run = apart.take();
+                open.isolated_run = isolated_run.take();
                 return Ok(Placed { attempt: dispatched, choice, res, open, fingerprint });
             }
             Err(DispatchError::NotSent(proof)) => {
@@ -181,16 +180,17 @@
             Err(DispatchError::Unknown) => {
                 open.record_failure();
                 api.requests.crashes.broke_off(&choice, fingerprint);
-                return Err(NotPlaced::Refused(lost(api, dispatched, &choice)));
+                return Err(NotPlaced::Refused(finish_unknown(api, dispatched, &choice)));
             }
         }
     }
-    Err(NotPlaced::Refused(nowhere(api, attempt, need, none)))
+    Err(NotPlaced::Refused(no_server_response(api, attempt, request, no_server)))
 }
 
-/// Whether new work may go to this server now, given what this daemon can
-/// know of drains.
-fn may_use(api: &Api, server: &Name) -> bool {
+/// Returns whether new requests may be sent to this server. A daemon that is isolated from the
+/// store and most of its peers may not know of drains, so it only uses servers that check orders
+/// themselves.
+fn may_dispatch_to(api: &Api, server: &Name) -> bool {
     let now = api.requests.base.clock.now();
     if !api.requests.fleet.contact.is_isolated(now, api.requests.base.cfg.limits.isolation_ms) {
         return true;
@@ -200,24 +200,25 @@
     row.is_some_and(|row| row.checks_orders)
 }
 
-/// The request may have run: its whole reservation counts as spent.
-fn lost(api: &Api, attempt: Attempt<Dispatched>, choice: &Choice) -> ErrorResponse {
+/// Ends an attempt whose request may have run: the whole reservation counts as spent.
+fn finish_unknown(api: &Api, attempt: Attempt<Dispatched>, choice: &Choice) -> ErrorResponse {
     let _finished = attempt.finish(&mut api.requests.budgets.holder(), None);
     api.requests.base.metrics.count("request.unknown");
     let message = format!("server '{}' broke off before its answer began", choice.server);
     ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
-fn nowhere(
+/// Ends an attempt for which no server is usable, and returns the response.
+fn no_server_response(
     api: &Api,
     attempt: Attempt<Admitted>,
-    need: &PlacementRequest<'_>,
-    why: NoServer,
+    request: &PlacementRequest<'_>,
+    reason: NoServer,
 ) -> ErrorResponse {
-    let not_run = give_back(api, attempt, need);
+    let not_run = release(api, attempt, request);
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let (metric, code, message, return_ms) =
-        match api.requests.hints.in_turn(&Name::from(need.pool), why) {
+        match api.requests.hints.in_turn(&Name::from(request.pool), reason) {
             NoServer::OnlyLimited(at_limit) => (
                 "refused.only_limited",
                 "only_limited",
@@ -241,34 +242,38 @@
     ErrorResponse::not_run(&not_run, status, code, message).retry_after(return_ms)
 }
 
-/// Gives back what was set aside and claimed for an attempt that runs nowhere.
-fn give_back(api: &Api, attempt: Attempt<Admitted>, need: &PlacementRequest<'_>) -> NotRun {
+/// Releases the reservation and the claim of an attempt that does not run.
+fn release(api: &Api, attempt: Attempt<Admitted>, request: &PlacementRequest<'_>) -> NotRun {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
-    if need.claimed {
-        api.billing.keep(Entry::Release { request: need.request, attempt: id });
+    if request.claimed {
+        api.billing.keep(Entry::Release { request: request.hash, attempt: id });
     }
     not_run
 }
 
-/// Passes a request that is not known to crash its servers; waits while that is found out.
-async fn pass_crashes(
+/// Admits a request unless it is known to crash its servers; waits while that is being decided.
+/// Returns the attempt and, for [`Verdict::Isolated`], the registration of its only further run.
+///
+/// # Errors
+/// The response to the caller if the request is blocked or the decision is still open.
+async fn check_crashes(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     fingerprint: Fingerprint,
 ) -> Result<(Attempt<Admitted>, Option<RunApart>), ErrorResponse> {
     let verdict = api.requests.crashes.settled(Millis::MAX, || fingerprint).await;
-    let apart = (verdict == Verdict::Isolated)
+    let isolated_run = (verdict == Verdict::Isolated)
         .then(|| api.requests.crashes.run_apart(fingerprint))
         .flatten();
-    if matches!(verdict, Verdict::Allowed | Verdict::Suspect) || apart.is_some() {
-        return Ok((attempt, apart));
+    if matches!(verdict, Verdict::Allowed | Verdict::Suspect) || isolated_run.is_some() {
+        return Ok((attempt, isolated_run));
     }
-    let not_run = give_back(api, attempt, need);
+    let not_run = release(api, attempt, request);
     api.requests.base.metrics.count("refused.crashes_servers");
     slog::info!(api.requests.base.log, "not sent for its crashes";
-        "request" => %need.request, "fingerprint" => %fingerprint);
+        "request" => %request.hash, "fingerprint" => %fingerprint);
     Err(if verdict != Verdict::Blocked {
         let message = "backend servers that ran this request before broke off";
         let status = StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -1,5 +1,5 @@
-//! Plain services, reached through a route: method, body and status are
-//! carried through.
+//! Reverse proxy for plain services that a route leads to: method, body and status are forwarded
+//! unchanged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,14 +28,14 @@
 use crate::http::read_body;
 use crate::requests::open_request::OpenRequest;
 
-/// Largest answer of a plain service, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum response body of a plain service, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// When to come back after an unknown outcome.
+/// Retry delay after an unknown outcome.
 const RETRY_UNKNOWN_MS: u64 = 1_000;
 
-/// Headers that concern one connection, or bankcove itself.
-const NOT_CARRIED: [&str; 10] = [
+/// Headers that are not forwarded: they concern a single connection or bankcove itself.
+const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-authorization",
@@ -48,97 +48,111 @@
     "authorization",
 ];
 
-/// A call that was read and understood.
-struct Call {
+/// A parsed call and its route.
+struct ServiceCall {
     caller: Caller,
     route: Route,
-    outgoing: BackendRequest,
+    backend_request: BackendRequest,
 }
 
-/// A plain service's answer.
+/// Response of a plain service.
 struct ServiceResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Serves a call of a plain service.
+/// Handles a call of a plain service.
 #[handler]
 pub async fn forward(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let api = api_state(depot);
     let id = api.next_attempt();
     set_header(res, ATTEMPT_HEADER, &id.to_string());
-    let call = match read_call(&api, id, req).await {
+    let call = match parse_call(&api, id, req).await {
         Ok(call) => call,
-        Err(problem) => return problem.render(res),
+        Err(error) => return error.render(res),
     };
     set_header(res, KEY_HEADER, &call.caller.key);
     let (tx, rx) = oneshot::channel();
     let serving = serve(Arc::clone(&api), call, id, tx);
     api.requests.in_flight.spawn(serving);
     match rx.await {
-        Ok(Ok(answer)) => {
-            res.status_code(answer.status);
-            for (name, value) in &answer.headers {
-                if is_carried(name) {
+        Ok(Ok(response)) => {
+            res.status_code(response.status);
+            for (name, value) in &response.headers {
+                if is_forwarded(name) {
                     res.headers_mut().append(name, value.clone());
                 }
             }
-            res.body(answer.body);
+            res.body(response.body);
         }
-        Ok(Err(problem)) => problem.render(res),
+        Ok(Err(error)) => error.render(res),
         Err(_) => ErrorResponse::unknown("internal", "the request was dropped").render(res),
     }
 }
 
-fn is_carried(name: &HeaderName) -> bool {
+/// Returns whether a header is forwarded between caller and service.
+fn is_forwarded(name: &HeaderName) -> bool {
     let name = name.as_str();
-    !NOT_CARRIED.contains(&name) && !name.starts_with("x-bankcove-")
+    !NOT_FORWARDED.contains(&name) && !name.starts_with("x-bankcove-")
 }
 
-async fn read_call(api: &Api, id: AttemptId, req: &mut Request) -> Result<Call, ErrorResponse> {
+/// Reads a call and finds its route.
+///
+/// # Errors
+/// The response to the caller if the request is invalid.
+async fn parse_call(
+    api: &Api,
+    id: AttemptId,
+    req: &mut Request,
+) -> Result<ServiceCall, ErrorResponse> {
     let caller = identify_caller(api, req)?;
     let path = req.uri().path().to_owned();
     let Some(route) = caller.table.route_for_path(&path).cloned() else {
         let message = format!("no route leads from '{path}'");
         return Err(ErrorResponse::refused(StatusCode::NOT_FOUND, "no_such_route", message));
     };
-    let carried = req.headers().iter().filter(|(name, _)| is_carried(name));
-    let headers: HeaderMap = carried.map(|(name, value)| (name.clone(), value.clone())).collect();
-    let whole_path = req.uri().path_and_query().map_or(path, |path| path.as_str().to_owned());
-    let outgoing = BackendRequest {
+    let forwarded = req.headers().iter().filter(|(name, _)| is_forwarded(name));
+    let headers: HeaderMap = forwarded.map(|(name, value)| (name.clone(), value.clone())).collect();
+    let path_and_query = req.uri().path_and_query().map_or(path, |path| path.as_str().to_owned());
+    let backend_request = BackendRequest {
         method: Method::from_bytes(req.method().as_str().as_bytes()).unwrap_or(Method::GET),
-        path: whole_path,
+        path: path_and_query,
         headers,
         body: read_body(&api.requests.base.cfg.limits, req).await?,
         run_id: caller.request.to_string(),
         attempt: id,
     };
-    Ok(Call { caller, route, outgoing })
+    Ok(ServiceCall { caller, route, backend_request })
 }
 
+/// Serves a call and sends the response through `tx`.
 async fn serve(
     api: Arc<Api>,
-    call: Call,
+    call: ServiceCall,
     id: AttemptId,
     tx: oneshot::Sender<Result<ServiceResponse, ErrorResponse>>,
 ) {
     let deadline = Duration::from_millis(call.route.deadline_ms);
-    let answer = run(&api, call, id, deadline).await;
-    if let Err(problem) = &answer {
-        api.requests.base.metrics.count(problem.code());
+    let response = run_call(&api, call, id, deadline).await;
+    if let Err(error) = &response {
+        api.requests.base.metrics.count(error.code());
     }
-    // A caller that went away has been billed for what ran.
-    let _gone = tx.send(answer);
+    // Fails if the caller has disconnected; it has been billed for what ran.
+    let _gone = tx.send(response);
 }
 
-async fn run(
+/// Admits, dispatches and bills a call.
+///
+/// # Errors
+/// The response to the caller if the call is refused or the service did not respond completely.
+async fn run_call(
     api: &Arc<Api>,
-    call: Call,
+    call: ServiceCall,
     id: AttemptId,
     deadline: Duration,
 ) -> Result<ServiceResponse, ErrorResponse> {
-    let Call { caller, route, outgoing } = call;
+    let ServiceCall { caller, route, backend_request } = call;
     let attempt = Attempt::new(caller.request, id);
     let price = route.call_tokens;
     let mut attempt = match admission::admit(api, &caller, attempt, price).await {
@@ -156,31 +170,36 @@
     if at_most_once {
         attempt = admission::claim(api, &caller, attempt).await?;
     }
-    let need = PlacementRequest {
+    let request = PlacementRequest {
         pool: route.name.as_str(),
-        prefix: xxh3_64(outgoing.path.as_bytes()),
+        prefix: xxh3_64(backend_request.path.as_bytes()),
         kind: ServerKind::Service,
-        request: caller.request,
+        hash: caller.request,
         workspace: &caller.workspace,
         homes: Homes { route: &route.homes, workspace: &caller.homes },
         claimed: at_most_once,
     };
     let until = api.requests.base.clock.now() + deadline.as_millis() as Millis;
     let interrupt = api.requests.base.clock.sleep_until(until);
-    let placed = match placement::place(api, attempt, &need, &outgoing, interrupt).await {
+    let placed = match placement::place(api, attempt, &request, &backend_request, interrupt).await {
         Ok(placed) => placed,
-        Err(NotPlaced::Refused(problem)) => return Err(problem),
-        Err(NotPlaced::Interrupted(given_up)) => {
-            return Err(lost(api, given_up.attempt, given_up.open, &given_up.choice.server));
+        Err(NotPlaced::Refused(error)) => return Err(error),
+        Err(NotPlaced::Interrupted(interrupted)) => {
+            return Err(finish_unknown(
+                api,
+                interrupted.attempt,
+                interrupted.open,
+                &interrupted.choice.server,
+            ));
         }
     };
     let open = placed.open;
     let status = placed.res.status();
     let headers = placed.res.headers().clone();
-    let body = api.requests.base.clock.before(until, read_answer(placed.res)).await;
+    let body = api.requests.base.clock.before(until, read_response_body(placed.res)).await;
     let Some(Some(body)) = body else {
         api.requests.crashes.broke_off(&placed.choice, placed.fingerprint);
-        return Err(lost(api, placed.attempt, open, &placed.choice.server));
+        return Err(finish_unknown(api, placed.attempt, open, &placed.choice.server));
     };
     let is_framed = crashes::is_framed(&headers);
     api.requests.crashes.ended(&placed.choice, is_framed, || placed.fingerprint);
@@ -188,8 +207,8 @@
     Ok(ServiceResponse { status, headers, body })
 }
 
-/// The service may have done what it was asked: the price counts as spent.
-fn lost(
+/// Ends a call that the service may have executed: the price counts as spent.
+fn finish_unknown(
     api: &Api,
     attempt: Attempt<Dispatched>,
     mut open: OpenRequest,
@@ -201,17 +220,19 @@
     ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
 }
 
-async fn read_answer(mut res: reqwest::Response) -> Option<Bytes> {
+/// Reads a response body. Returns `None` if it breaks off or exceeds [`MAX_RESPONSE_BYTES`].
+async fn read_response_body(mut res: reqwest::Response) -> Option<Bytes> {
     let mut buf = bytes::BytesMut::new();
     while let Some(chunk) = res.chunk().await.ok()? {
         buf.extend_from_slice(&chunk);
-        if buf.len() > MAX_ANSWER_BYTES {
+        if buf.len() > MAX_RESPONSE_BYTES {
             return None;
         }
     }
     Some(buf.freeze())
 }
 
+/// Settles the reservation and bills the call at its price.
 async fn settle_and_bill(
     api: &Arc<Api>,
     attempt: Attempt<Dispatched>,
--- a/crates/daemon/src/api/response.rs
+++ b/crates/daemon/src/api/response.rs
@@ -1,6 +1,6 @@
-//! What a caller is told when it does not get its answer.
+//! Responses to callers, and the error response to a request that was not served.
 //!
-//! Three outcomes, never confused: done, not run, unknown.
+//! An error response distinguishes three outcomes: done, not run, unknown.
 
 use bankcove_core::Millis;
 use bankcove_core::lifecycle::NotRun;
@@ -10,20 +10,20 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-/// Header with the name of the attempt that served a request.
+/// Response header with the identifier of the attempt that served a request.
 pub const ATTEMPT_HEADER: &str = "x-bankcove-attempt";
 
-/// Header with the idempotency key in force for a request.
+/// Response header with the idempotency key used for a request.
 pub const KEY_HEADER: &str = "x-bankcove-key";
 
-/// What became of the request.
+/// Whether the request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It ran nowhere.
+    /// It was not executed on any server.
     NotRun,
-    /// It may have run.
+    /// It may have been executed.
     Unknown,
-    /// It has run, and is billed.
+    /// It was executed and billed.
     Done,
 }
 
@@ -37,28 +37,28 @@
     }
 }
 
-/// An answer other than the one asked for.
+/// Error response to a caller.
 #[derive(Debug, Clone)]
 pub struct ErrorResponse {
     status: StatusCode,
     code: &'static str,
     message: String,
-    fate: RequestOutcome,
+    outcome: RequestOutcome,
     retry_after_ms: Option<Millis>,
 }
 
 impl ErrorResponse {
-    /// The request is at fault; it was not run.
+    /// Creates a response to an invalid request, which was not run.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         ErrorResponse::new(StatusCode::BAD_REQUEST, code, message.into(), RequestOutcome::NotRun)
     }
 
-    /// An answer of this status about a request that no attempt was made at.
+    /// Creates a response with this status to a request that was refused before any attempt.
     pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         ErrorResponse::new(status, code, message.into(), RequestOutcome::NotRun)
     }
 
-    /// The attempt ran nowhere; its type proves it.
+    /// Creates a response for an attempt that did not run, as `_proof` guarantees.
     pub fn not_run(
         _proof: &NotRun,
         status: StatusCode,
@@ -68,36 +68,45 @@
         ErrorResponse::new(status, code, message.into(), RequestOutcome::NotRun)
     }
 
-    /// The request may have run.
+    /// Creates a response for a request that may have run.
     pub fn unknown(code: &'static str, message: impl Into<String>) -> Self {
         ErrorResponse::new(StatusCode::BAD_GATEWAY, code, message.into(), RequestOutcome::Unknown)
     }
 
-    /// Another attempt at the same request stands in the way.
-    pub fn elsewhere(code: &'static str, message: impl Into<String>, fate: RequestOutcome) -> Self {
-        ErrorResponse::new(StatusCode::CONFLICT, code, message.into(), fate)
+    /// Creates a response for a request that another attempt has claimed or run.
+    pub fn conflict(
+        code: &'static str,
+        message: impl Into<String>,
+        outcome: RequestOutcome,
+    ) -> Self {
+        ErrorResponse::new(StatusCode::CONFLICT, code, message.into(), outcome)
     }
 
-    /// Says when to come back.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, millis: Millis) -> Self {
         self.retry_after_ms = Some(millis);
         self
     }
 
-    /// The machine-readable code.
+    /// Returns the machine-readable error code.
     pub fn code(&self) -> &'static str {
         self.code
     }
 
-    fn new(status: StatusCode, code: &'static str, message: String, fate: RequestOutcome) -> Self {
-        ErrorResponse { status, code, message, fate, retry_after_ms: None }
+    fn new(
+        status: StatusCode,
+        code: &'static str,
+        message: String,
+        outcome: RequestOutcome,
+    ) -> Self {
+        ErrorResponse { status, code, message, outcome, retry_after_ms: None }
     }
 
-    /// The body of the answer.
+    /// Returns the JSON body.
     pub fn body(&self) -> Value {
         let mut error = json!({
-            "code": self.code, "message": self.message, "outcome": self.fate.as_str(),
+            "code": self.code, "message": self.message, "outcome": self.outcome.as_str(),
         });
         if let Some(millis) = self.retry_after_ms {
             error["retry_after_ms"] = json!(millis);
@@ -105,7 +114,7 @@
         json!({ "error": error })
     }
 
-    /// Puts the answer into `res`.
+    /// Writes status, headers and body into `res`.
     pub fn render(&self, res: &mut Response) {
         res.status_code(self.status);
         if let Some(millis) = self.retry_after_ms {
@@ -116,10 +125,10 @@
     }
 }
 
-/// The beginning of an answer.
+/// Body of a successful response.
 pub enum ResponseBody {
-    /// Pieces as they come.
+    /// Chunks, delivered as they arrive.
     Stream(mpsc::Receiver<Bytes>),
-    /// The whole answer.
+    /// The complete body.
     Complete(Bytes),
 }
--- a/crates/daemon/src/api/sse.rs
+++ b/crates/daemon/src/api/sse.rs
@@ -1,103 +1,104 @@
-//! Server-sent events of a stream of chat completions.
+//! Parser for the server-sent events of a chat completion stream.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 
-/// Largest event, in bytes; a larger one ends the stream.
+/// Maximum size of an event in bytes; a larger one ends the connection.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Text that ends a stream.
+/// Data of the event that ends a stream.
 const END_MARK: &str = "[DONE]";
 
-/// Tokens that an engine says a run has cost.
+/// Token usage of a run, as reported by its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u64,
 }
 
-/// What bankcove reads of a piece of an answer.
+/// Chunk of a completion; fields that bankcove does not use are omitted.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Chunk {
-    /// Name of the run.
+    /// Identifier of the run.
     pub id: String,
-    /// Place in the stream; engines that do not number their pieces give none.
+    /// Offset in the stream; `None` from engines that don't number their chunks.
     pub offset: Option<u64>,
-    /// What the run has cost; in the last piece.
+    /// Cost of the run; only in the last chunk.
     pub usage: Option<Usage>,
-    /// The choices of this piece.
+    /// Choices in this chunk.
     #[serde(default)]
     pub choices: Vec<Choice>,
 }
 
-/// What bankcove reads of a choice.
+/// Choice of a completion; fields that bankcove does not use are omitted.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Choice {
-    /// Why the choice ended, in its last piece.
+    /// Reason why the choice ended; only in its last chunk.
     pub finish_reason: Option<String>,
 }
 
 impl Chunk {
-    /// Whether this piece ends the answer.
+    /// Returns whether this chunk ends the completion.
     pub fn is_last(&self) -> bool {
         self.usage.is_some() || self.choices.iter().any(|choice| choice.finish_reason.is_some())
     }
 
-    /// Whether the run was cancelled, so that the answer is not whole.
+    /// Returns whether the run was cancelled, so that the completion is incomplete.
     pub fn is_cancelled(&self) -> bool {
         self.choices.iter().any(|choice| choice.finish_reason.as_deref() == Some("cancelled"))
     }
 }
 
-/// One event.
+/// An event of the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A piece of an answer, with its bytes as they came.
+    /// A chunk, with the bytes of the event as received.
     Chunk(Chunk, Bytes),
-    /// The mark that ends the stream.
+    /// The end of the stream.
     End,
-    /// Something that can't be read.
-    Unreadable,
+    /// An event that can't be parsed.
+    Malformed,
 }
 
-/// Splits bytes into events.
+/// Incremental splitter of a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes in bytes; complete events come out of [`EventSplitter::next_event`].
+    /// Appends received bytes; [`EventSplitter::next_event`] returns the complete events.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next complete event.
+    /// Removes and returns the next complete event, or `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<Event> {
         if let Some(end) = self.buf.windows(2).position(|pair| pair == b"\n\n") {
             let raw = self.buf.split_to(end + 2).freeze();
-            return Some(read(raw));
+            return Some(parse_event(raw));
         }
         if self.buf.len() > MAX_EVENT_BYTES {
             self.buf.clear();
-            return Some(Event::Unreadable);
+            return Some(Event::Malformed);
         }
         None
     }
 }
 
-fn read(raw: Bytes) -> Event {
+/// Parses an event from its bytes.
+fn parse_event(raw: Bytes) -> Event {
     let text = std::str::from_utf8(&raw).unwrap_or_default();
     let Some(data) = text.trim().strip_prefix("data:").map(str::trim) else {
-        return Event::Unreadable;
+        return Event::Malformed;
     };
     if data == END_MARK {
         return Event::End;
     }
     match serde_json::from_str(data) {
-        Ok(piece) => Event::Chunk(piece, raw),
-        Err(_) => Event::Unreadable,
+        Ok(chunk) => Event::Chunk(chunk, raw),
+        Err(_) => Event::Malformed,
     }
 }
