--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -1,5 +1,5 @@
-//! From a request that was read to one that may be dispatched: the caller's
-//! workspace, its budget, and the claim of a request that must not repeat.
+//! Admission of a request: finds the caller's workspace and budget, reserves the maximum cost, and
+//! claims a request that must not run twice.
 
 use std::sync::Arc;
 
@@ -11,113 +11,116 @@
 use salvo::prelude::*;
 
 use crate::api::Api;
-use crate::api::answer::{Fate, Problem};
+use crate::api::response::{ErrorResponse, RequestOutcome};
+use crate::auth::hash_key;
 use crate::bill::request_log;
 use crate::budget::reserve::reserve;
-use crate::identity::hash_key;
 use crate::peer::Refusal;
 
-/// Header that names a budget other than the workspace's own.
+/// Request header with the name of a budget other than the workspace's default.
 const BUDGET_HEADER: &str = "x-bankcove-budget";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// When to come back while a daemon stops or has no table yet.
-const RETRY_ELSEWHERE_MS: u64 = 1_000;
+/// Retry delay when the daemon is stopping or has no table yet; another one may serve the request.
+const RETRY_OTHER_DAEMON_MS: u64 = 1_000;
 
-/// When to come back for the outcome of an attempt elsewhere.
+/// Retry delay when another attempt has claimed the request, or the claim can't be made.
 const RETRY_CLAIMED_MS: u64 = 2_000;
 
-/// Who calls, and what pays.
+/// The caller of a request and the budget that pays for it.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The table that the request is served by.
+    /// The table revision that the request is served with.
     pub table: Arc<Table>,
-    /// The workspace.
+    /// The caller's workspace.
     pub workspace: Name,
-    /// Regions that may serve the workspace; with none all may.
+    /// Home regions of the workspace; an empty list allows all regions.
     pub homes: Vec<Name>,
-    /// The budget.
+    /// The budget that is charged.
     pub budget: Budget,
-    /// The idempotency key, made when the caller sent none.
+    /// The idempotency key; generated if the caller sent none.
     pub key: String,
-    /// The request.
+    /// Hash of the workspace and the key, which identifies the request.
     pub request: RequestHash,
-    /// Whether the caller says that the request may not run twice.
-    pub once: bool,
+    /// Whether the caller has marked the request as not repeatable.
+    pub at_most_once: bool,
 }
 
-/// Reads who calls.
+/// Determines the caller and its budget from the headers of a request.
 ///
 /// # Errors
-/// The answer for a caller that may not go on.
-pub fn identify(api: &Api, req: &Request) -> Result<Caller, Problem> {
+/// The response to the caller if the daemon is stopping or has no table, or if the key or budget
+/// is invalid.
+pub fn identify_caller(api: &Api, req: &Request) -> Result<Caller, ErrorResponse> {
     if api.requests.stopping.is_cancelled() {
         let message = "this daemon is stopping; another one will serve the request";
-        return Err(Problem::refused(StatusCode::SERVICE_UNAVAILABLE, "stopping", message)
-            .retry_after(RETRY_ELSEWHERE_MS));
+        return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "stopping", message)
+            .retry_after(RETRY_OTHER_DAEMON_MS));
     }
     let Some(table) = api.requests.table.load_full() else {
         let message = "this daemon has no table yet";
-        return Err(Problem::refused(StatusCode::SERVICE_UNAVAILABLE, "no_table", message)
-            .retry_after(RETRY_ELSEWHERE_MS));
+        return Err(ErrorResponse::refused(StatusCode::SERVICE_UNAVAILABLE, "no_table", message)
+            .retry_after(RETRY_OTHER_DAEMON_MS));
     };
-    let workspace = workspace_of(&table, req)?.clone();
-    let budget = budget_of(&table, &workspace, req)?.clone();
+    let workspace = find_workspace(&table, req)?.clone();
+    let budget = find_budget(&table, &workspace, req)?.clone();
     let key = match header(req, "idempotency-key") {
         Some(key) if key.len() > MAX_KEY_BYTES => {
             let message = "the idempotency key is longer than 256 bytes";
-            return Err(Problem::bad_request("bad_key", message));
+            return Err(ErrorResponse::bad_request("bad_key", message));
         }
         Some(key) => key.to_owned(),
         None => format!("auto-{}", api.next_attempt()),
     };
-    let once = header(req, "x-bankcove-repeatable") == Some("false");
+    let at_most_once = header(req, "x-bankcove-repeatable") == Some("false");
     let request = RequestHash::of(&workspace.name, &key);
     let (homes, workspace) = (workspace.homes, workspace.name);
-    Ok(Caller { table, workspace, homes, budget, key, request, once })
+    Ok(Caller { table, workspace, homes, budget, key, request, at_most_once })
 }
 
-fn workspace_of<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, Problem> {
-    let shown = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let known = shown.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
-    known.ok_or_else(|| {
+/// Finds the workspace by the bearer key of a request.
+fn find_workspace<'a>(table: &'a Table, req: &Request) -> Result<&'a Workspace, ErrorResponse> {
+    let presented = header(req, "authorization").and_then(|value| value.strip_prefix("Bearer "));
+    let workspace = presented.and_then(|key| table.workspace_by_key(&hash_key(key.trim())));
+    workspace.ok_or_else(|| {
         let message = "the request shows no key of any workspace; send 'Authorization: Bearer KEY'";
-        Problem::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
+        ErrorResponse::refused(StatusCode::UNAUTHORIZED, "bad_key", message)
     })
 }
 
-fn budget_of<'a>(
+/// Finds the budget named by a request, by default the workspace's own.
+fn find_budget<'a>(
     table: &'a Table,
     workspace: &Workspace,
     req: &Request,
-) -> Result<&'a Budget, Problem> {
+) -> Result<&'a Budget, ErrorResponse> {
     let named = header(req, BUDGET_HEADER).map(Name::from);
     let name = named.unwrap_or_else(|| workspace.default_budget.clone());
     let budget = table.budget(&name).filter(|budget| budget.workspace == workspace.name);
     budget.ok_or_else(|| {
         let message = format!("workspace '{}' has no budget '{name}'", workspace.name);
-        Problem::refused(StatusCode::FORBIDDEN, "no_such_budget", message)
+        ErrorResponse::refused(StatusCode::FORBIDDEN, "no_such_budget", message)
     })
 }
 
-/// The value of a header, when it is readable text.
+/// Returns the value of a header if it is valid text.
 pub fn header<'a>(req: &'a Request, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets the greatest cost aside.
+/// Reserves the maximum cost of a request from the caller's budget.
 ///
 /// # Errors
-/// The refusal, together with the attempt, which may try a smaller cost.
+/// The refusal, together with the attempt, which may be retried at a lower cost.
 pub async fn admit(
     api: &Arc<Api>,
     caller: &Caller,
     attempt: Attempt<Received>,
     tokens: Tokens,
 ) -> Result<Attempt<Admitted>, (Refusal, Attempt<Received>)> {
-    // Nothing is rationed here: requests of this interface have no ranks.
+    // Requests of this interface have no urgency ranks, so none of them is rationed.
     let demand = RequestDemand { tokens, rank: 0, ration_s: 0.0 };
     match reserve(&api.requests.budgets, &caller.budget, demand).await {
         Ok(reservation) => Ok(attempt.admit(reservation)),
@@ -125,8 +128,13 @@
     }
 }
 
-/// The answer to a request whose budget does not suffice.
-pub fn short(api: &Api, not_run: &NotRun, budget: &Budget, refusal: Refusal) -> Problem {
+/// Returns the response to a request that its budget does not cover, and counts the refusal.
+pub fn budget_refusal(
+    api: &Api,
+    not_run: &NotRun,
+    budget: &Budget,
+    refusal: Refusal,
+) -> ErrorResponse {
     api.requests.base.metrics.count("refused.budget");
     let (status, code, message) = if refusal.store_away {
         let message = format!("no tokens of budget '{}' are in reach now", budget.name);
@@ -135,46 +143,53 @@
         let message = format!("budget '{}' does not cover the request's limit", budget.name);
         (StatusCode::TOO_MANY_REQUESTS, "budget_short", message)
     };
-    Problem::not_run(not_run, status, code, message).retry_after(refusal.retry_after_ms)
+    ErrorResponse::not_run(not_run, status, code, message).retry_after(refusal.retry_after_ms)
 }
 
-/// Wins the right to run a request that must not repeat.
+/// Claims a request that must not run twice, so that only this attempt may run it.
 ///
 /// # Errors
-/// The answer for a caller whose attempt did not win.
+/// The response to the caller if another attempt has the claim, or the store does not confirm it.
 pub async fn claim(
     api: &Arc<Api>,
     caller: &Caller,
     attempt: Attempt<Admitted>,
-) -> Result<Attempt<Admitted>, Problem> {
+) -> Result<Attempt<Admitted>, ErrorResponse> {
     let entry = Entry::Claim { request: caller.request, attempt: attempt.id };
     match request_log::submit(&api.billing, entry).await {
         Outcome::ClaimWon => Ok(attempt),
         Outcome::ClaimLost { by, billed } => {
             let _not_run = attempt.not_run(&mut api.requests.budgets.holder());
-            Err(claimed_elsewhere(by, billed))
+            Err(claim_lost_response(by, billed))
         }
-        _ => Err(claim_unsettled(api, caller, attempt)),
+        _ => Err(claim_unavailable_response(api, caller, attempt)),
     }
 }
 
-/// The request itself may have run in the other attempt: not "not run".
-fn claimed_elsewhere(by: bankcove_core::AttemptId, billed: bool) -> Problem {
+/// Returns the response for a claim lost to another attempt. It is never "not run", because the
+/// other attempt may have run the request.
+fn claim_lost_response(by: bankcove_core::AttemptId, billed: bool) -> ErrorResponse {
     if billed {
         let message = format!("attempt {by} has run this request and it is billed");
-        return Problem::elsewhere("already_done", message, Fate::Done);
+        return ErrorResponse::conflict("already_done", message, RequestOutcome::Done);
     }
     let message = format!("attempt {by} holds this request; whether it ran is not known here");
-    Problem::elsewhere("claimed", message, Fate::Unknown).retry_after(RETRY_CLAIMED_MS)
+    ErrorResponse::conflict("claimed", message, RequestOutcome::Unknown)
+        .retry_after(RETRY_CLAIMED_MS)
 }
 
-/// The claim may be in the log all the same: it is given up there, so that a
-/// retry is not held up by it.
-fn claim_unsettled(api: &Api, caller: &Caller, attempt: Attempt<Admitted>) -> Problem {
+/// Ends an attempt whose claim was not confirmed, and returns the response. The claim may have
+/// been written nevertheless, so it is released in the log, where it would block a retry.
+fn claim_unavailable_response(
+    api: &Api,
+    caller: &Caller,
+    attempt: Attempt<Admitted>,
+) -> ErrorResponse {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     api.billing.enqueue(Entry::Release { request: caller.request, attempt: id });
     let message = "the store does not answer, so a request that must not repeat can't be claimed";
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    Problem::not_run(&not_run, status, "claim_out_of_reach", message).retry_after(RETRY_CLAIMED_MS)
+    ErrorResponse::not_run(&not_run, status, "claim_out_of_reach", message)
+        .retry_after(RETRY_CLAIMED_MS)
 }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -28,13 +28,13 @@
 
 use crate::base::config::entry::EntrySettings;
 use crate::entry::backends::Backends;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 use crate::view::View;
 
 /// State shared by the modules of the entry side.
 pub struct Entry {
     /// State for serving requests, shared with the daemon's own API.
-    pub requests: Arc<Requests>,
+    pub requests: Arc<RequestContext>,
     /// Table, servers, halls and hosts as known to this daemon.
     pub view: Arc<View>,
     /// Wire format of the platform.
@@ -57,7 +57,7 @@
 
     /// Creates the entry side of a daemon.
     pub fn new(
-        requests: Arc<Requests>,
+        requests: Arc<RequestContext>,
         view: Arc<View>,
         wire: Arc<dyn Wire>,
         settings: EntrySettings,
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admitted.rs
@@ -14,7 +14,7 @@
 use crate::entry::call::Call;
 use crate::entry::charge::Charge;
 use crate::entry::refusal::Refusal;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Longest wait for tokens of a budget. A draw takes two store calls of about 4 ms each, and a
 /// refusal after more than a quarter of a caller's goal is of little use to the caller.
@@ -101,7 +101,7 @@
 }
 
 /// Returns the retry delay after neither the store nor an owner has provided tokens.
-fn outage_retry_delay(requests: &Requests) -> Duration {
+fn outage_retry_delay(requests: &RequestContext) -> Duration {
     let store_age_ms = requests.fleet.connectivity.store_age(requests.base.clock.now());
     Duration::from_millis(outage::retry_after_outage(store_age_ms, rand::random()))
 }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -70,7 +70,7 @@
     let res = match answer {
         None => {
             call.may_have_run = true;
-            open_request.failed();
+            open_request.record_failure();
             log_failed_attempt(call, &choice, "no answer in time");
             return AttemptOutcome::TimedOut;
         }
@@ -81,14 +81,14 @@
         }
         Some(Err(SendError::NotConnected(problem))) => {
             charge.record_not_run(may_have_run_before);
-            open_request.failed();
+            open_request.record_failure();
             log_failed_attempt(call, &choice, &problem);
             return AttemptOutcome::NotRun;
         }
         Some(Err(SendError::Broken(problem))) => {
             call.attempts_sent += 1;
             call.may_have_run = true;
-            open_request.failed();
+            open_request.record_failure();
             log_failed_attempt(call, &choice, &problem);
             entry.requests.crashes.record_disconnect(&choice, call.fingerprint());
             return AttemptOutcome::AnswerLost;
@@ -120,7 +120,7 @@
     call.may_have_run = true;
     let means_not_run = matches!(res.status().as_u16(), 408 | 421 | 429 | 503);
     if is_foreign || head.is_encoded || !head.is_signed || means_not_run {
-        open_request.failed();
+        open_request.record_failure();
         log_failed_attempt(call, &choice, "the answer is not the server's answer to this request");
         return AttemptOutcome::AnswerLost;
     }
@@ -144,7 +144,7 @@
     match call.entry.requests.base.clock.before(call.deadline, body).await {
         Some(Ok(body)) => {
             if status.is_server_error() {
-                open_request.failed();
+                open_request.record_failure();
                 log_failed_attempt(call, &choice, "the server failed");
             }
             AttemptOutcome::Answered(BufferedAnswer {
@@ -156,7 +156,7 @@
             })
         }
         Some(Err(e)) => {
-            open_request.failed();
+            open_request.record_failure();
             let is_too_large = e.downcast_ref::<LengthLimitError>().is_some();
             log_failed_attempt(
                 call,
@@ -169,7 +169,7 @@
             AttemptOutcome::AnswerLost
         }
         None => {
-            open_request.failed();
+            open_request.record_failure();
             log_failed_attempt(call, &choice, "the answer did not end in time");
             AttemptOutcome::TimedOut
         }
--- a/crates/daemon/src/entry/charge.rs
+++ b/crates/daemon/src/entry/charge.rs
@@ -7,7 +7,7 @@
 use bankcove_core::holder::Reservation;
 use slog::Logger;
 
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Events that a server may have generated beyond those received, before it noticed that the
 /// connection was closed: it stops within half a second and takes 30 ms for an event.
@@ -15,7 +15,7 @@
 
 /// Charge of one request, settled on drop.
 pub struct Charge {
-    requests: Arc<Requests>,
+    requests: Arc<RequestContext>,
     log: Logger,
     reservation: Option<Reservation>,
     input_tokens: Tokens,
@@ -30,7 +30,7 @@
     /// Creates a charge of `reservation`; `None` for a request that costs nothing. `log` adds the
     /// request's id.
     pub fn new(
-        requests: &Arc<Requests>,
+        requests: &Arc<RequestContext>,
         log: &Logger,
         reservation: Option<Reservation>,
         input_tokens: Tokens,
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -8,8 +8,8 @@
 use bankcove_ports::wire::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::auth::hash_key;
 use crate::entry::refusal::Refusal;
-use crate::identity::hash_key;
 
 /// Factor on the route's goal within which an answer is expected to begin, or to be complete.
 const GOAL_FACTOR: u64 = 2;
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -89,12 +89,12 @@
                     return None;
                 }
                 ReadResult::TimedOut => {
-                    self.open_request.failed();
+                    self.open_request.record_failure();
                     return Some(Err(self.abort("the time is over")));
                 }
                 ReadResult::Broken(problem) => problem,
             };
-            self.open_request.failed();
+            self.open_request.record_failure();
             log_failed_attempt(&self.call, &self.choice, problem);
             self.call
                 .entry
@@ -125,7 +125,7 @@
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => {
                     self.pace.record_event();
-                    self.open_request.begun();
+                    self.open_request.record_prompt_read();
                     self.call.link.record_chunk(events.len());
                     return ReadResult::Events(events);
                 }
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -21,7 +21,7 @@
 use crate::entry::plan::Plan;
 use crate::entry::ready::injected_entry;
 use crate::entry::refusal::Refusal;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
 /// Returns the routes for callers: one handler for all paths, which the table resolves.
 pub fn router(entry: Arc<Entry>) -> Router {
@@ -32,7 +32,7 @@
 #[handler]
 async fn serve(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let entry = injected_entry(depot);
-    let in_flight = entry.requests.work.token();
+    let in_flight = entry.requests.in_flight.token();
     if entry.requests.leaving.is_cancelled() {
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -124,7 +124,7 @@
     let host = Name::from(host);
     let expected_end =
         requests.base.clock.now() + plan.expected_time(&incoming).as_millis() as Millis;
-    if requests.last_end.lock().is_some_and(|last_end| expected_end > last_end) {
+    if requests.latest_end.lock().is_some_and(|last_end| expected_end > last_end) {
         return Err(Refusal::Stopping);
     }
     let path = req.uri().path_and_query().cloned();
@@ -171,6 +171,6 @@
 }
 
 /// Returns the retry delay while this daemon has no table yet.
-fn no_table_retry_delay(requests: &Requests) -> Duration {
+fn no_table_retry_delay(requests: &RequestContext) -> Duration {
     Duration::from_millis(outage::retry_after_start(requests.base.clock.now(), rand::random()))
 }
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -32,7 +32,7 @@
         "stopping": daemon.requests.stopping.is_cancelled(),
         "store_heard_ms_ago": daemon.fleet.connectivity.store_age(now),
         "isolated": daemon.fleet.connectivity.is_isolated(now, daemon.cfg.limits.isolation_ms),
-        "requests_in_flight": daemon.requests.work.len(),
+        "requests_in_flight": daemon.requests.in_flight.len(),
         "bills_waiting": daemon.billing.pending_entries(),
         "peers": peers,
     })
