--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -73,7 +73,7 @@
         for n in 1..=DAEMONS {
             let ports = Ports::reserve()?;
             let cfg = settings(n, &table, &store.address().to_string(), &ports)?;
-            let daemon = Daemon::new(cfg, bankcoved::base::logging::silent())?;
+            let daemon = Daemon::new(cfg, bankcoved::base::logging::discard())?;
             daemons.push(controller::Running::start(daemon).await?);
         }
         let demo = Demo { store, servers, daemons, http };
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/placement.rs
@@ -87,7 +87,7 @@
         pool: need.pool,
         prefix: place.map_or(need.prefix, |place| place.key),
         prompt_tokens: 0,
-        hour: api.requests.base.clock.hour(),
+        hour: api.requests.base.clock.utc_hour(),
         seed: rand::random(),
         tried,
         homes: need.homes,
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -172,7 +172,7 @@
     let open = placed.open;
     let status = placed.res.status();
     let headers = placed.res.headers().clone();
-    let body = api.requests.base.clock.before(until, read_answer(placed.res)).await;
+    let body = api.requests.base.clock.timeout_at(until, read_answer(placed.res)).await;
     let Some(Some(body)) = body else {
         api.requests.crashes.broke_off(&placed.choice, placed.fingerprint);
         return Err(lost(api, placed.attempt, open, &placed.choice.server));
--- a/crates/daemon/src/base.rs
+++ b/crates/daemon/src/base.rs
@@ -3,9 +3,9 @@
 pub mod clock;
 pub mod config;
 pub mod logging;
-pub mod mailbox;
 pub mod metrics;
 pub mod store_calls;
+pub mod task_channel;
 pub mod tcp;
 
 use std::sync::Arc;
--- a/crates/daemon/src/base/clock.rs
+++ b/crates/daemon/src/base/clock.rs
@@ -22,10 +22,10 @@
 /// What a clock reads, each counted from some fixed start.
 pub trait TimeSource: Send + Sync + fmt::Debug {
     /// Time that has passed, that of suspensions included.
-    fn passed(&self) -> Duration;
+    fn elapsed(&self) -> Duration;
 
     /// Time that the host was awake.
-    fn awake(&self) -> Duration;
+    fn elapsed_awake(&self) -> Duration;
 }
 
 /// The host's clocks.
@@ -35,13 +35,13 @@
 }
 
 impl TimeSource for HostTime {
-    fn passed(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         // Every kernel since 2.6.39 has it; without it a suspension can't be seen.
         let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        read.map_or_else(|_| self.awake(), Duration::from)
+        read.map_or_else(|_| self.elapsed_awake(), Duration::from)
     }
 
-    fn awake(&self) -> Duration {
+    fn elapsed_awake(&self) -> Duration {
         self.start.elapsed()
     }
 }
@@ -52,58 +52,58 @@
     source: Arc<dyn TimeSource>,
     start: Duration,
     /// Told when the host has woken from a suspension.
-    woken: Arc<Notify>,
+    resumed: Arc<Notify>,
 }
 
 impl Clock {
     /// A clock that starts now, of this host.
     pub fn start() -> Self {
-        Clock::of(Arc::new(HostTime { start: Instant::now() }))
+        Clock::with_source(Arc::new(HostTime { start: Instant::now() }))
     }
 
     /// A clock that starts now and reads `source`.
-    pub fn of(source: Arc<dyn TimeSource>) -> Self {
-        let start = source.passed();
-        Clock { source, start, woken: Arc::default() }
+    pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
+        let start = source.elapsed();
+        Clock { source, start, resumed: Arc::default() }
     }
 
     /// Milliseconds since the start; never goes back, nor stands still in a suspension.
     pub fn now(&self) -> Millis {
-        self.source.passed().saturating_sub(self.start).as_millis() as Millis
+        self.source.elapsed().saturating_sub(self.start).as_millis() as Millis
     }
 
     /// How long the host was suspended, counted from some fixed start.
-    pub fn suspended(&self) -> Duration {
-        self.source.passed().saturating_sub(self.source.awake())
+    pub fn suspended_time(&self) -> Duration {
+        self.source.elapsed().saturating_sub(self.source.elapsed_awake())
     }
 
     /// The host has woken: who waits until some moment looks anew whether it has passed.
-    pub fn wake(&self) {
-        self.woken.notify_waiters();
+    pub fn notify_resumed(&self) {
+        self.resumed.notify_waiters();
     }
 
     /// Time until `moment`.
-    pub fn left(&self, moment: Millis) -> Duration {
+    pub fn time_until(&self, moment: Millis) -> Duration {
         Duration::from_millis(moment.saturating_sub(self.now()))
     }
 
     /// Waits until `moment`, by the time that passes while the host is suspended too.
     pub async fn sleep_until(&self, moment: Millis) {
         loop {
-            let woken = self.woken.notified();
-            let left = self.left(moment);
+            let resumed = self.resumed.notified();
+            let left = self.time_until(moment);
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
-                () = woken => {}
+                () = resumed => {}
             }
         }
     }
 
     /// What `waited` comes to, if it does so before `moment`.
-    pub async fn before<F: Future>(&self, moment: Millis, waited: F) -> Option<F::Output> {
+    pub async fn timeout_at<F: Future>(&self, moment: Millis, waited: F) -> Option<F::Output> {
         tokio::select! {
             biased;
             output = waited => Some(output),
@@ -118,7 +118,7 @@
     }
 
     /// The hour of the day, UTC.
-    pub fn hour(&self) -> usize {
+    pub fn utc_hour(&self) -> usize {
         (self.unix_ms() / HOUR_MS % HOURS) as usize
     }
 }
--- a/crates/daemon/src/base/config/entry.rs
+++ b/crates/daemon/src/base/config/entry.rs
@@ -129,7 +129,7 @@
 
     /// Gives the budgets of a table, which say nothing of draws on this
     /// platform, the policy of these settings.
-    pub fn put_draw_policy(&self, table: &mut Table) {
+    pub fn apply_draw_policy(&self, table: &mut Table) {
         for row in &mut table.budgets {
             row.horizon_s = self.horizon_s;
             row.share_divisor = self.share_divisor;
--- a/crates/daemon/src/base/logging.rs
+++ b/crates/daemon/src/base/logging.rs
@@ -19,6 +19,6 @@
 }
 
 /// A logger that drops everything.
-pub fn silent() -> Logger {
+pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/daemon/src/base/store_calls.rs
+++ b/crates/daemon/src/base/store_calls.rs
@@ -11,7 +11,7 @@
 const INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// Tells the calls of each purpose, until the daemon ends.
-pub async fn tell(base: Base, store: Store) {
+pub async fn report(base: Base, store: Store) {
     let mut told = store.calls().counts();
     loop {
         tokio::select! {
--- a/crates/daemon/src/base/mailbox.rs
+++ b/crates/daemon/src/base/task_channel.rs
@@ -11,18 +11,18 @@
 
 /// Callers that wait for answers `A`.
 #[derive(Debug)]
-pub struct Tickets<A> {
+pub struct PendingReplies<A> {
     waiting: HashMap<Ticket, oneshot::Sender<A>>,
     last: Ticket,
 }
 
-impl<A> Default for Tickets<A> {
+impl<A> Default for PendingReplies<A> {
     fn default() -> Self {
-        Tickets { waiting: HashMap::new(), last: 0 }
+        PendingReplies { waiting: HashMap::new(), last: 0 }
     }
 }
 
-impl<A> Tickets<A> {
+impl<A> PendingReplies<A> {
     /// Names a new caller.
     pub fn add(&mut self, tx: oneshot::Sender<A>) -> Ticket {
         self.last += 1;
@@ -40,7 +40,7 @@
 }
 
 /// Sends what `work` ends in to the task, unless its channel is closed by then.
-pub fn later<M: Send + 'static>(
+pub fn send_result<M: Send + 'static>(
     tx: &mpsc::WeakUnboundedSender<M>,
     work: impl Future<Output = M> + Send + 'static,
 ) {
@@ -55,8 +55,8 @@
 }
 
 /// Sends `mail` to the task after this time.
-pub fn after<M: Send + 'static>(tx: &mpsc::WeakUnboundedSender<M>, millis: u64, mail: M) {
-    later(tx, async move {
+pub fn send_after<M: Send + 'static>(tx: &mpsc::WeakUnboundedSender<M>, millis: u64, mail: M) {
+    send_result(tx, async move {
         tokio::time::sleep(Duration::from_millis(millis)).await;
         mail
     });
--- a/crates/daemon/src/base/tcp.rs
+++ b/crates/daemon/src/base/tcp.rs
@@ -33,38 +33,38 @@
 
 /// What a host says to a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum ProbeResult {
     /// Somebody listens at the address.
     Accepted,
     /// The host is there, and nobody listens.
     Refused,
     /// No word in time, or no way there.
-    Silent,
+    NoAnswer,
 }
 
 /// Tries to connect to `address`, and whether the connection then stays open for `hold`. The
 /// port of a process that has just ended may be open a little longer than its connections;
 /// what connects to it then is reset at once. Such a connection counts as silence.
-pub async fn reach_and_hold(address: &str, timeout: Duration, hold: Duration) -> Reach {
+pub async fn probe_and_hold(address: &str, timeout: Duration, hold: Duration) -> ProbeResult {
     match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             // Nobody was asked anything: whatever there is to read is an end or an error.
             let ended = tokio::time::timeout(hold, stream.readable()).await;
-            if ended.is_ok() { Reach::Silent } else { Reach::Accepted }
+            if ended.is_ok() { ProbeResult::NoAnswer } else { ProbeResult::Accepted }
         }
-        other => of_connection(&other),
+        other => connect_result(&other),
     }
 }
 
 /// Tries to connect to `address`.
-pub async fn reach(address: &str, timeout: Duration) -> Reach {
-    of_connection(&tokio::time::timeout(timeout, TcpStream::connect(address)).await)
+pub async fn probe(address: &str, timeout: Duration) -> ProbeResult {
+    connect_result(&tokio::time::timeout(timeout, TcpStream::connect(address)).await)
 }
 
-fn of_connection(connected: &Result<std::io::Result<TcpStream>, Elapsed>) -> Reach {
+fn connect_result(connected: &Result<std::io::Result<TcpStream>, Elapsed>) -> ProbeResult {
     match connected {
-        Ok(Ok(_)) => Reach::Accepted,
-        Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => Reach::Refused,
-        Ok(Err(_)) | Err(_) => Reach::Silent,
+        Ok(Ok(_)) => ProbeResult::Accepted,
+        Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refused,
+        Ok(Err(_)) | Err(_) => ProbeResult::NoAnswer,
     }
 }
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -8,7 +8,7 @@
 use bankcove_ports::{Kind, WriteOutcome, segment_name};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::base::mailbox::{Tickets, after, later};
+use crate::base::task_channel::{PendingReplies, send_after, send_result};
 use crate::bill::billing::Billing;
 use crate::bill::log_tasks::{LogDump, Mail};
 
@@ -59,7 +59,7 @@
             shard,
             billing: Arc::downgrade(billing),
             tx: tx.downgrade(),
-            tickets: Tickets::default(),
+            tickets: PendingReplies::default(),
         };
         tokio::spawn(task.run(RequestLog::new(billing.fleet.base.cfg.limits.log_append_ms), rx));
         tx
@@ -72,7 +72,7 @@
     shard: u32,
     billing: Weak<Billing>,
     tx: mpsc::WeakUnboundedSender<Mail>,
-    tickets: Tickets<Outcome>,
+    tickets: PendingReplies<Outcome>,
 }
 
 impl LogTask {
@@ -104,13 +104,13 @@
         for command in commands {
             match command {
                 Command::FindNewest => {
-                    later(&self.tx, event(find_newest(Arc::clone(billing), self.shard)))
+                    send_result(&self.tx, event(find_newest(Arc::clone(billing), self.shard)))
                 }
                 Command::Read(number) => {
-                    later(&self.tx, event(read(Arc::clone(billing), self.shard, number)))
+                    send_result(&self.tx, event(read(Arc::clone(billing), self.shard, number)))
                 }
                 Command::Append(number, segment) => {
-                    later(
+                    send_result(
                         &self.tx,
                         event(append(Arc::clone(billing), self.shard, number, segment)),
                     );
@@ -123,7 +123,7 @@
         }
         if let Some(at) = wake_at {
             let wait = at.saturating_sub(billing.fleet.base.clock.unix_ms());
-            after(&self.tx, wait, Mail::Event(Event::Tick));
+            send_after(&self.tx, wait, Mail::Event(Event::Tick));
         }
     }
 }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -12,7 +12,7 @@
 use futures::future::join_all;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::base::tcp::{Reach, reach};
+use crate::base::tcp::{ProbeResult, probe};
 use crate::budget::budgets::{Budgets, OWNER_KEY};
 use crate::peer::{GiveAnswer, PeerServiceClient};
 
@@ -142,7 +142,7 @@
             reclaim(budgets, budget, holder).await;
             false
         }
-        None if reach(&holder.address, timeout).await == Reach::Refused => {
+        None if probe(&holder.address, timeout).await == ProbeResult::Refused => {
             reclaim(budgets, budget, holder).await;
             false
         }
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -9,7 +9,7 @@
 use bankcove_ports::{Kind, Versioned, WriteOutcome};
 use tokio::sync::mpsc;
 
-use crate::base::mailbox::{Tickets, after, later};
+use crate::base::task_channel::{PendingReplies, send_after, send_result};
 use crate::budget::budgets::Budgets;
 use crate::budget::collect::gather;
 use crate::budget::owner_tasks::{Mail, OwnerDump};
@@ -42,7 +42,7 @@
             shard,
             budgets: Arc::downgrade(budgets),
             tx: tx.downgrade(),
-            tickets: Tickets::default(),
+            tickets: PendingReplies::default(),
             told: None,
         };
         let limits = &budgets.fleet.base.cfg.limits;
@@ -64,7 +64,7 @@
     shard: u32,
     budgets: Weak<Budgets>,
     tx: mpsc::WeakUnboundedSender<Mail>,
-    tickets: Tickets<OwnerAnswer>,
+    tickets: PendingReplies<OwnerAnswer>,
     /// Version of the shard that the holder was told of last.
     told: Option<u64>,
 }
@@ -115,12 +115,17 @@
         let mut wake_at: Option<Millis> = None;
         for command in commands {
             match command {
-                Command::Load => later(&self.tx, event(load(Arc::clone(budgets), self.shard))),
+                Command::Load => {
+                    send_result(&self.tx, event(load(Arc::clone(budgets), self.shard)))
+                }
                 Command::Write(version, shard) => {
-                    later(&self.tx, event(write(Arc::clone(budgets), self.shard, version, shard)));
+                    send_result(
+                        &self.tx,
+                        event(write(Arc::clone(budgets), self.shard, version, shard)),
+                    );
                 }
                 Command::Gather(budget, holders) => {
-                    later(&self.tx, event(gather(Arc::clone(budgets), budget, holders)));
+                    send_result(&self.tx, event(gather(Arc::clone(budgets), budget, holders)));
                 }
                 Command::Reply(ticket, reply) => {
                     self.tickets.answer(ticket, OwnerAnswer { reply, sent: None });
@@ -141,7 +146,7 @@
         }
         if let Some(at) = wake_at {
             let wait = at.saturating_sub(budgets.fleet.base.clock.now());
-            after(&self.tx, wait, Mail::Event(Event::Tick));
+            send_after(&self.tx, wait, Mail::Event(Event::Tick));
         }
     }
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -148,7 +148,7 @@
             // Without sealed grants all that is held is lost with its holder.
             tokio::spawn(tend::tend(Arc::clone(&daemon.budgets)));
         }
-        tokio::spawn(store_calls::tell(daemon.fleet.base.clone(), daemon.store.clone()));
+        tokio::spawn(store_calls::report(daemon.fleet.base.clone(), daemon.store.clone()));
         tokio::spawn(announce(Arc::clone(&daemon)));
         tokio::spawn(host_list::follow_host_list(Arc::clone(&daemon.view)));
         tokio::spawn(membership::send_heartbeats(Arc::clone(&daemon.membership)));
@@ -213,7 +213,7 @@
             "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().total_reserved(),
             "bills_waiting" => daemon.billing.waiting());
         // What is open may go on until the platform's kill. Time over: the sides end.
-        let _over = daemon.clock.before(deadline, daemon.requests.work.wait()).await;
+        let _over = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await;
         self.sides.iter().for_each(|side| side.handle.stop_graceful(CLOSE_TIMEOUT));
         // The sides end by themselves; a failed task has ended as well.
         let ends = self.sides.into_iter().map(|side| side.task);
@@ -228,7 +228,7 @@
     slog::info!(daemon.log, "stopping"; "in_flight" => daemon.requests.work.len());
     daemon.requests.stopping.cancel();
     daemon.requests.work.close();
-    let finished = daemon.clock.before(deadline, daemon.requests.work.wait()).await.is_some();
+    let finished = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await.is_some();
     while daemon.billing.waiting() > 0 && daemon.clock.now() < deadline {
         tokio::time::sleep(STOP_POLL).await;
     }
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -7,7 +7,7 @@
 use bankcove_core::Millis;
 use bankcove_core::crashes::ServerStart;
 
-use crate::base::tcp::{Reach, reach_and_hold};
+use crate::base::tcp::{ProbeResult, probe_and_hold};
 use crate::crashes::{Crashes, Origin};
 
 /// Longest wait for a connection: a host in reach accepts or refuses within 2 ms.
@@ -40,10 +40,10 @@
 async fn has_crashed(crashes: &Crashes, server: &ServerStart, address: &str) -> bool {
     let doubted_until = crashes.fleet.base.clock.now() + DOUBT_MS;
     loop {
-        match reach_and_hold(address, REACH_TIMEOUT, HOLD).await {
-            Reach::Refused => return true,
-            Reach::Accepted => return false,
-            Reach::Silent => {}
+        match probe_and_hold(address, REACH_TIMEOUT, HOLD).await {
+            ProbeResult::Refused => return true,
+            ProbeResult::Accepted => return false,
+            ProbeResult::NoAnswer => {}
         }
         // Gone from the list, or another start has its name.
         if !crashes.router.lock().is_current_start(&server.name, server.started_ms) {
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -65,7 +65,7 @@
     call.link.sent_head();
     let clock = &entry.requests.base.clock;
     let asked_at = clock.now();
-    let sent = clock.before(call.deadline, entry.backends.send(permit, outgoing)).await;
+    let sent = clock.timeout_at(call.deadline, entry.backends.send(permit, outgoing)).await;
     let res = match sent {
         None => {
             call.ran = true;
@@ -138,7 +138,7 @@
     let status = res.status();
     let headers = call.entry.wire.answer_headers(res.headers());
     let body = Limited::new(res.into_body(), MAX_ANSWER_BYTES).collect();
-    match call.entry.requests.base.clock.before(call.deadline, body).await {
+    match call.entry.requests.base.clock.timeout_at(call.deadline, body).await {
         Some(Ok(body)) => {
             if status.is_server_error() {
                 open.failed();
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -78,7 +78,7 @@
 
     /// Whether its caller waits no longer.
     pub fn is_late(&self) -> bool {
-        self.entry.requests.base.clock.left(self.deadline).is_zero()
+        self.entry.requests.base.clock.time_until(self.deadline).is_zero()
     }
 
     /// What it asks for, hashed when it is first needed: no request pays for it but those
@@ -234,7 +234,7 @@
     /// The request as it goes to this server. `resume_after` is the last event
     /// that the caller has.
     pub fn outgoing(&self, choice: &Choice, resume_after: Option<u64>) -> Outgoing {
-        let left = self.entry.requests.base.clock.left(self.deadline);
+        let left = self.entry.requests.base.clock.time_until(self.deadline);
         let dispatch = Dispatch {
             server: &choice.server,
             workspace: self.plan.workspace.as_ref(),
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -107,7 +107,7 @@
     async fn read(&mut self) -> Read {
         loop {
             let clock = &self.call.entry.requests.base.clock;
-            let frame = match clock.before(self.call.deadline, self.body.frame()).await {
+            let frame = match clock.timeout_at(self.call.deadline, self.body.frame()).await {
                 None => return Read::Late,
                 Some(None) if self.splitter.is_empty() => return Read::End,
                 Some(None) => return Read::Broken("the stream ended within an event"),
--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -43,7 +43,7 @@
     requests.stopping.cancel();
     requests.work.close();
     // What is still open then is cut by the platform's kill, and logged here.
-    let ended = clock.before(last, requests.work.wait()).await.is_some();
+    let ended = clock.timeout_at(last, requests.work.wait()).await.is_some();
     slog::info!(requests.base.log, "drained";
         "all_ended" => ended, "open" => requests.work.len(),
         "after_ms" => clock.now() - started);
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -175,7 +175,7 @@
         let pause = self.store_read_policy().probe_interval(failures, rand::random());
         let until = self.base.clock.now() + pause;
         loop {
-            let left = self.base.clock.left(until);
+            let left = self.base.clock.time_until(until);
             tokio::select! {
                 () = tokio::time::sleep(left.min(TOLD_POLL)) => {}
                 () = self.base.ended.cancelled() => return,
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -12,20 +12,20 @@
 
 /// Looks until the daemon ends.
 pub async fn watch(fleet: Fleet) {
-    let mut known = fleet.base.clock.suspended();
+    let mut known = fleet.base.clock.suspended_time();
     loop {
         tokio::select! {
             () = tokio::time::sleep(LOOK) => {}
             () = fleet.base.ended.cancelled() => return,
         }
-        let suspended = fleet.base.clock.suspended();
+        let suspended = fleet.base.clock.suspended_time();
         let since = suspended.saturating_sub(known);
         if since >= LEAST {
             known = suspended;
             fleet.base.metrics.count("host.suspended");
             slog::warn!(fleet.base.log, "host was suspended"; "for_ms" => since.as_millis() as u64,
                 "view_age_ms" => fleet.contact.view_age(fleet.base.clock.now()));
-            fleet.base.clock.wake();
+            fleet.base.clock.notify_resumed();
         }
     }
 }
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -35,7 +35,7 @@
 /// Puts a table in force, if it is newer than the one in force.
 pub fn adopt(view: &Arc<View>, mut table: Table) {
     if let Some(entry) = &view.fleet.base.cfg.entry {
-        entry.put_draw_policy(&mut table);
+        entry.apply_draw_policy(&mut table);
     }
     {
         // The router's lock orders adoptions, so that none goes back.
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -26,11 +26,11 @@
 }
 
 impl TimeSource for Host {
-    fn passed(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         *self.awake.lock() + *self.suspended.lock()
     }
 
-    fn awake(&self) -> Duration {
+    fn elapsed_awake(&self) -> Duration {
         *self.awake.lock()
     }
 }
@@ -39,7 +39,7 @@
 
 fn host() -> (Arc<Host>, Clock) {
     let host = Arc::new(Host::default());
-    (Arc::clone(&host), Clock::of(host))
+    (Arc::clone(&host), Clock::with_source(host))
 }
 
 #[test]
@@ -51,7 +51,7 @@
     host.run(SECOND);
     host.suspend(8 * SECOND);
     assert_eq!(view.age(clock.now()), Some(9_000));
-    assert_eq!(clock.suspended(), 8 * SECOND);
+    assert_eq!(clock.suspended_time(), 8 * SECOND);
 }
 
 #[tokio::test(start_paused = true)]
@@ -60,13 +60,15 @@
     let deadline = clock.now() + 15_000;
     let waiting = clock.clone();
     let wait =
-        tokio::spawn(async move { waiting.before(deadline, std::future::pending::<()>()).await });
+        tokio::spawn(
+            async move { waiting.timeout_at(deadline, std::future::pending::<()>()).await },
+        );
     tokio::task::yield_now().await;
     host.suspend(20 * SECOND);
-    clock.wake();
+    clock.notify_resumed();
     // tokio's clock has not moved: only the wake can end it.
     assert_eq!(wait.await.expect("it ends"), None);
-    assert!(clock.left(deadline).is_zero());
+    assert!(clock.time_until(deadline).is_zero());
 }
 
 #[tokio::test(start_paused = true)]
@@ -74,10 +76,10 @@
     let (host, clock) = host();
     let deadline = clock.now() + 15_000;
     host.suspend(5 * SECOND);
-    clock.wake();
-    let waited = clock.before(deadline, async { 1 }).await;
+    clock.notify_resumed();
+    let waited = clock.timeout_at(deadline, async { 1 }).await;
     assert_eq!(waited, Some(1));
-    assert_eq!(clock.left(deadline), 10 * SECOND);
+    assert_eq!(clock.time_until(deadline), 10 * SECOND);
 }
 
 #[parameterized(
--- a/crates/daemon/tests/fleet_size.rs
+++ b/crates/daemon/tests/fleet_size.rs
@@ -25,7 +25,7 @@
     cfg.name = Name::from("entry-0");
     cfg.limits.witnesses = 0;
     cfg.limits.direct_daemons = DIRECT;
-    Daemon::new(cfg, logging::silent()).expect("it can be set up")
+    Daemon::new(cfg, logging::discard()).expect("it can be set up")
 }
 
 fn speaks(daemon: &Daemon, n: u64) {
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn a_heartbeat_that_was_not_asked_for_makes_nobody_current() {
     let daemon: Arc<Daemon> =
-        Daemon::new(Config::example(), logging::silent()).expect("it can be set up");
+        Daemon::new(Config::example(), logging::discard()).expect("it can be set up");
     // How long it was under way nobody knows.
     membership::heard(&daemon.membership, &heartbeat());
     let now = daemon.clock.now();
--- a/crates/daemon/tests/locks.rs
+++ b/crates/daemon/tests/locks.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_heartbeat_is_written_while_a_table_is_put_in_force() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
-    let daemon = Daemon::new(Config::example(), logging::silent()).expect("it can be set up");
+    let daemon = Daemon::new(Config::example(), logging::discard()).expect("it can be set up");
     let (tx, rx) = channel();
     let (beating, beats_tx) = (Arc::clone(&daemon), tx.clone());
     std::thread::spawn(move || {
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -40,7 +40,7 @@
     cfg.peer_advertise = None;
     cfg.limits.witnesses = 0;
     cfg.limits.direct_daemons = 0;
-    Daemon::new(cfg, logging::silent()).expect("it can be set up")
+    Daemon::new(cfg, logging::discard()).expect("it can be set up")
 }
 
 fn lists(daemon: &Daemon, other: &Daemon) {
