--- a/crates/daemon/src/base.rs
+++ b/crates/daemon/src/base.rs
@@ -1,4 +1,4 @@
-//! What every layer of a daemon stands on.
+//! Settings, clocks, logging, metrics and sockets that all layers of a daemon use.
 
 pub mod clock;
 pub mod config;
@@ -19,21 +19,18 @@
 use crate::base::metrics::Metrics;
 use crate::peer::PeerPool;
 
-/// The settings, clocks, logger, metrics and connections to peers; copies share them.
+/// State shared by all layers; clones refer to the same settings, clocks, metrics and
+/// connections.
 #[derive(Debug, Clone)]
 pub struct Base {
-    /// The settings.
     pub cfg: Arc<Config>,
-    /// This start of the daemon.
+    /// Identifier of this start of the daemon.
     pub incarnation: Incarnation,
-    /// Its clocks.
     pub clock: Clock,
-    /// Its logger.
     pub log: Logger,
-    /// Its metrics.
     pub metrics: Metrics,
     /// Connections to peers.
     pub peers: Arc<PeerPool>,
-    /// Cancelled when background tasks are to end.
+    /// Cancelled when background tasks must end.
     pub ended: CancellationToken,
 }
--- a/crates/daemon/src/base/clock.rs
+++ b/crates/daemon/src/base/clock.rs
@@ -1,9 +1,9 @@
-//! The one place that reads clocks.
+//! Clocks of the daemon; no other module reads the host's clocks.
 //!
-//! A host may be suspended. Its steady clock stands still meanwhile, and with it tokio's
-//! timers: ages and deadlines taken from it would look younger than they are when the host
-//! wakes, and its tokens, lists and callers' time would be used after they ran out. All of
-//! them are counted by a clock that goes on, and waits end by it.
+//! The monotonic clock, and with it tokio's timers, does not advance while a host is suspended.
+//! Ages and deadlines measured by it would be too young after the host resumes, and tokens,
+//! lists and callers' deadlines would be used after they expired. The daemon therefore measures
+//! them, and ends waits, by a clock that includes the time of suspensions.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::sync::Notify;
 
-/// Milliseconds of an hour.
+/// Number of milliseconds in an hour.
 const HOUR_MS: u64 = 3_600_000;
 
-/// Hours of a day.
-const HOURS: u64 = 24;
+/// Number of hours in a day.
+const HOURS_PER_DAY: u64 = 24;
 
-/// What a clock reads, each counted from some fixed start.
+/// Source of time; both times count from the same fixed start.
 pub trait TimeSource: Send + Sync + fmt::Debug {
-    /// Time that has passed, that of suspensions included.
+    /// Returns the elapsed time, including suspensions.
     fn elapsed(&self) -> Duration;
 
-    /// Time that the host was awake.
+    /// Returns the elapsed time without suspensions.
     fn elapsed_awake(&self) -> Duration;
 }
 
-/// The host's clocks.
+/// Clocks of the host.
 #[derive(Debug)]
 struct HostTime {
     start: Instant,
@@ -36,9 +36,9 @@
 
 impl TimeSource for HostTime {
     fn elapsed(&self) -> Duration {
-        // Every kernel since 2.6.39 has it; without it a suspension can't be seen.
-        let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        read.map_or_else(|_| self.elapsed_awake(), Duration::from)
+        // Available since Linux 2.6.39; without it suspensions are not detected.
+        let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+        boot_time.map_or_else(|_| self.elapsed_awake(), Duration::from)
     }
 
     fn elapsed_awake(&self) -> Duration {
@@ -46,48 +46,48 @@
     }
 }
 
-/// Clocks of this process; copies share them.
+/// Clock of this process; clones share its source.
 #[derive(Debug, Clone)]
 pub struct Clock {
     source: Arc<dyn TimeSource>,
     start: Duration,
-    /// Told when the host has woken from a suspension.
+    /// Notified after the host has resumed from a suspension.
     resumed: Arc<Notify>,
 }
 
 impl Clock {
-    /// A clock that starts now, of this host.
+    /// Creates a clock of this host that starts now.
     pub fn start() -> Self {
         Clock::with_source(Arc::new(HostTime { start: Instant::now() }))
     }
 
-    /// A clock that starts now and reads `source`.
+    /// Creates a clock that reads `source` and starts now.
     pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
         let start = source.elapsed();
         Clock { source, start, resumed: Arc::default() }
     }
 
-    /// Milliseconds since the start; never goes back, nor stands still in a suspension.
+    /// Returns the milliseconds since the start, including suspensions; never decreases.
     pub fn now(&self) -> Millis {
         self.source.elapsed().saturating_sub(self.start).as_millis() as Millis
     }
 
-    /// How long the host was suspended, counted from some fixed start.
+    /// Returns how long the host was suspended in total, counted from a fixed start.
     pub fn suspended_time(&self) -> Duration {
         self.source.elapsed().saturating_sub(self.source.elapsed_awake())
     }
 
-    /// The host has woken: who waits until some moment looks anew whether it has passed.
+    /// Makes all pending waits check their deadlines again, after the host has resumed.
     pub fn notify_resumed(&self) {
         self.resumed.notify_waiters();
     }
 
-    /// Time until `moment`.
+    /// Returns the time left until `moment`; zero when it has passed.
     pub fn time_until(&self, moment: Millis) -> Duration {
         Duration::from_millis(moment.saturating_sub(self.now()))
     }
 
-    /// Waits until `moment`, by the time that passes while the host is suspended too.
+    /// Waits until `moment`; time in which the host is suspended counts.
     pub async fn sleep_until(&self, moment: Millis) {
         loop {
             let resumed = self.resumed.notified();
@@ -102,23 +102,23 @@
         }
     }
 
-    /// What `waited` comes to, if it does so before `moment`.
-    pub async fn timeout_at<F: Future>(&self, moment: Millis, waited: F) -> Option<F::Output> {
+    /// Returns the output of `future`, or `None` if it has not completed by `moment`.
+    pub async fn timeout_at<F: Future>(&self, moment: Millis, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
-            output = waited => Some(output),
+            output = future => Some(output),
             () = self.sleep_until(moment) => None,
         }
     }
 
-    /// Milliseconds since 1970, by the host's clock.
+    /// Returns the milliseconds since 1970 by the host's wall clock.
     pub fn unix_ms(&self) -> Millis {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as Millis)
     }
 
-    /// The hour of the day, UTC.
+    /// Returns the hour of the day (UTC).
     pub fn utc_hour(&self) -> usize {
-        (self.unix_ms() / HOUR_MS % HOURS) as usize
+        (self.unix_ms() / HOUR_MS % HOURS_PER_DAY) as usize
     }
 }
--- a/crates/daemon/src/base/config.rs
+++ b/crates/daemon/src/base/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: one JSON file, checked as a whole at start.
+//! Settings of a daemon, read from one JSON file and validated as a whole at the start.
 
 pub mod entry;
 
@@ -15,52 +15,52 @@
 use crate::base::config::entry::EntrySettings;
 use crate::error::{ConfigFault, Error, Result};
 
-/// Shortest operators' token, in bytes.
+/// Minimum length of the operators' token, in bytes.
 const MIN_TOKEN_BYTES: usize = 8;
 
 /// Settings of one daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Name of this host, unique in the fleet.
+    /// Name of this host; unique in the fleet.
     pub name: Name,
-    /// Hall that this host stands in.
+    /// Hall in which this host is located.
     pub hall: Name,
-    /// Where callers connect, IP number and port.
+    /// Address on which callers connect: IP address and port.
     pub caller_listen: String,
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub peer_listen: String,
-    /// Where peers are told to connect; `peer_listen` when left out.
+    /// Address announced to peers; `peer_listen` if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_advertise: Option<String>,
-    /// Where operators connect; none where they reach the fleet by the
-    /// platform alone.
+    /// Address on which operators connect; omitted if they manage the fleet only through the
+    /// platform.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator_listen: Option<String>,
-    /// Token that operators show as `Authorization: Bearer`.
+    /// Token that operators send as `Authorization: Bearer`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator_token: Option<String>,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub store: String,
-    /// What the platform speaks.
+    /// Protocol of the platform.
     #[serde(default)]
     pub adapter: Adapter,
-    /// How callers are served on a platform with a wire of its own; left out
-    /// where callers use bankcove's own interfaces.
+    /// Settings for callers on a platform with a protocol of its own; omitted if callers use
+    /// bankcove's own interfaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<EntrySettings>,
-    /// Peers to ask while the platform does not answer.
+    /// Addresses of peers to contact while the platform does not answer.
     #[serde(default)]
     pub seed_peers: Vec<String>,
-    /// Where metrics go by UDP; none sends none.
+    /// Address to which metrics are sent by UDP; omitted to send none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics: Option<String>,
-    /// Bounds and intervals.
+    /// Limits and intervals.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// What the platform speaks.
+/// Protocol of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Adapter {
@@ -71,57 +71,57 @@
     Objects,
 }
 
-/// Bounds and intervals; each has a measured default.
+/// Limits and intervals; all have defaults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to read a request's body, in milliseconds.
+    /// Maximum time to read a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Longest planned stop, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     pub stop_timeout_ms: u64,
-    /// Time between heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Peers that each heartbeat goes to.
+    /// Number of peers to which each heartbeat is sent.
     pub heartbeat_fanout: usize,
-    /// Time between two reads of the host list, in milliseconds.
+    /// Interval between reads of the host list, in milliseconds.
     pub host_list_ms: u64,
-    /// Time between two load reports of a backend server, in milliseconds.
+    /// Interval between load reports of a backend server, in milliseconds.
     pub load_report_ms: u64,
-    /// Backend servers asked for a load report at once: those with requests of
-    /// this daemon first, the others in turn.
+    /// Number of backend servers polled for a load report at once: first those with requests
+    /// of this daemon, then the others in turn.
     pub load_reports_at_once: usize,
-    /// Daemons of each hall that read the store for all of it: what is asked of
-    /// the store grows with the halls, not with the fleet. The others learn from
-    /// peers, which may be cut off from the store while they are not.
+    /// Number of daemons in each hall that read the store for the whole hall, so that the load
+    /// on the store grows with the number of halls and not of daemons. The others receive
+    /// updates from peers, which may be cut off from the store while they are not.
     pub store_readers: usize,
-    /// Longest call of a peer, in milliseconds.
+    /// Timeout of a call to a peer, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Longest wait for a peer's unspent tokens, in milliseconds.
+    /// Maximum wait for a peer's unspent tokens, in milliseconds.
     pub gather_timeout_ms: u64,
-    /// Peers that attest what a daemon opens of its grants while the store is
-    /// away; with 0 a grant is open as a whole when it is recorded.
+    /// Number of witnesses: peers that attest what a daemon opens of its grants while the store
+    /// is unreachable. With 0 a grant is open as a whole once it is recorded.
     pub witnesses: usize,
-    /// Peers that are asked as the owner of a budget's shard before this daemon
-    /// writes the shard itself.
+    /// Number of peers contacted as the owner of a budget's shard before this daemon writes the
+    /// shard itself.
     pub owners_tried: usize,
-    /// Up to this many daemons each writes by itself first: conflicts of writes
-    /// are rare in so small a fleet, and an owner that is cut off delays nobody.
+    /// Largest number of daemons in a fleet in which each writes the shards itself first: in
+    /// such a small fleet write conflicts are rare, and an unreachable owner causes no delay.
     pub direct_daemons: usize,
-    /// Objects that all budgets are spread over.
+    /// Number of objects over which all budgets are distributed.
     pub budget_shards: u32,
-    /// Shortest time between two writes of a budget shard, in milliseconds.
+    /// Minimum interval between writes of a budget shard, in milliseconds.
     pub budget_write_ms: u64,
-    /// Shortest time between two appends to a log shard, in milliseconds.
+    /// Minimum interval between appends to a log shard, in milliseconds.
     pub log_append_ms: u64,
-    /// How long the end of an answer waits for its bill before the bill is
-    /// copied to peers instead, in milliseconds.
+    /// How long the end of an answer waits until its bill is recorded before the bill is copied
+    /// to peers instead, in milliseconds.
     pub bill_wait_ms: u64,
-    /// After this long without word from the store or most peers, servers that
-    /// check no orders get no new work, in milliseconds.
+    /// Time without a response from the store or most peers, in milliseconds, after which
+    /// servers that check no orders get no new work.
     pub isolation_ms: u64,
-    /// Tries of one request at different servers, while nothing has run.
+    /// Maximum number of servers tried for one request while none has executed it.
     pub max_tries: usize,
 }
 
@@ -153,12 +153,12 @@
 }
 
 impl Config {
-    /// Whether halls are evacuated by the platform.
+    /// Whether halls are evacuated through the platform.
     pub fn follows_evacuations(&self) -> bool {
         self.entry.as_ref().is_some_and(|entry| entry.follow_evacuations)
     }
 
-    /// Settings for a first look, with every default written out.
+    /// Returns example settings with all defaults spelled out.
     pub fn example() -> Self {
         Config {
             name: Name::from("entry-1"),
@@ -177,35 +177,35 @@
         }
     }
 
-    /// Where peers are told to connect.
+    /// Returns the address announced to peers.
     pub fn peer_address(&self) -> &str {
         self.peer_advertise.as_deref().unwrap_or(&self.peer_listen)
     }
 
-    /// Whether the settings name a daemon besides this one that may be asked at a start.
+    /// Whether the seed peers include a daemon other than this one.
     pub fn has_other_seeds(&self) -> bool {
         self.seed_peers.iter().any(|seed| seed != self.peer_address())
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// [`Error::ReadConfig`] or [`Error::Config`] with every fault found.
+    /// [`Error::ReadConfig`], or [`Error::Config`] with all faults found.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| Error::ReadConfig { path: path.to_owned(), source })?;
         Config::parse(&text)
     }
 
-    /// Reads settings from JSON text and checks them.
+    /// Parses settings from JSON text and validates them.
     ///
     /// # Errors
-    /// [`Error::Config`] with every fault found.
+    /// [`Error::Config`] with all faults found.
     pub fn parse(text: &str) -> Result<Self> {
         let mut value: Value = serde_json::from_str(text).map_err(|e| {
-            faults(vec![ConfigFault::new("", &e.to_string(), "mend the JSON at that place")])
+            faults(vec![ConfigFault::new("", &e.to_string(), "fix the JSON syntax there")])
         })?;
-        let mut found = take_unknown_keys(&mut value);
+        let mut found = remove_unknown_keys(&mut value);
         match serde_path_to_error::deserialize::<_, Config>(&value) {
             Ok(cfg) => {
                 found.extend(cfg.faults());
@@ -238,8 +238,8 @@
         addresses.extend(self.seed_peers.iter().map(|address| ("seed_peers", address)));
         for (path, address) in addresses {
             if address.parse::<SocketAddr>().is_err() {
-                let problem = format!("'{address}' is no IP number and port");
-                found.push(ConfigFault::new(path, &problem, "write it like 10.0.0.7:8080"));
+                let problem = format!("'{address}' is not an IP address and port");
+                found.push(ConfigFault::new(path, &problem, "use the form 10.0.0.7:8080"));
             }
         }
         for (path, name) in [("name", &self.name), ("hall", &self.hall)] {
@@ -254,7 +254,7 @@
         }
         found.extend(self.operator_faults());
         if self.adapter == Adapter::Objects && self.entry.is_none() {
-            let problem = "this adapter serves callers by the 'entry' settings, which are missing";
+            let problem = "this adapter requires the 'entry' settings, which are missing";
             found.push(ConfigFault::new("entry", problem, "add them, see docs/OPERATIONS.md"));
         }
         found.extend(self.entry.iter().flat_map(EntrySettings::faults));
@@ -294,8 +294,7 @@
             ("limits.max_tries", self.max_tries as u64),
         ];
         let zero = positive.into_iter().filter(|(_, value)| *value == 0);
-        zero.map(|(path, _)| ConfigFault::new(path, "0 is not usable here", "use 1 or more"))
-            .collect()
+        zero.map(|(path, _)| ConfigFault::new(path, "must not be 0", "use 1 or more")).collect()
     }
 }
 
@@ -303,23 +302,22 @@
     Error::Config(found)
 }
 
-/// The setting whose keys are the operators' to choose.
+/// Setting with keys that operators choose.
 const HALL_REGIONS: &str = "entry.hall_regions";
 
-/// Removes every key that the settings do not have and names it: serde would
-/// stop at the first.
-fn take_unknown_keys(value: &mut Value) -> Vec<ConfigFault> {
+/// Removes all unknown keys and returns a fault for each; serde would stop at the first.
+fn remove_unknown_keys(value: &mut Value) -> Vec<ConfigFault> {
     let mut example = Config::example();
     example.peer_advertise = Some(String::new());
     example.metrics = Some(String::new());
     example.entry = Some(EntrySettings::example());
     let known = serde_json::to_value(example).unwrap_or_default();
     let mut found = Vec::new();
-    take_unknown_keys_below(value, &known, "", &mut found);
+    remove_unknown_keys_below(value, &known, "", &mut found);
     found
 }
 
-fn take_unknown_keys_below(
+fn remove_unknown_keys_below(
     value: &mut Value,
     known: &Value,
     path: &str,
@@ -329,9 +327,9 @@
     value.retain(|key, inner| {
         let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
         match known.get(key) {
-            // Its keys are names of halls.
+            // The keys are names of halls.
             Some(_) if path == HALL_REGIONS => {}
-            Some(known) => take_unknown_keys_below(inner, known, &path, found),
+            Some(known) => remove_unknown_keys_below(inner, known, &path, found),
             None => found.push(ConfigFault::new(
                 &path,
                 "there is no such setting",
--- a/crates/daemon/src/base/config/entry.rs
+++ b/crates/daemon/src/base/config/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry side.
+//! Settings of the entry service, which serves callers by the platform's protocol.
 
 use std::collections::BTreeMap;
 
@@ -9,74 +9,74 @@
 
 use crate::error::ConfigFault;
 
-/// Settings of the entry side.
+/// Settings of the entry service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Where the platform asks whether this daemon takes connections.
+    /// Address on which the platform checks whether this daemon accepts connections.
     pub ready_listen: String,
-    /// Where metrics and the dump are read; none serves none.
+    /// Address on which metrics and the dump are served; omitted to serve none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics_listen: Option<String>,
-    /// Time between the signal to stop and the end, in seconds.
+    /// Time between the stop signal and the end of the process, in seconds.
     #[serde(default = "default_stop_grace_s")]
     pub stop_grace_s: f64,
-    /// Repeats for each request of the same service, for the whole fleet.
+    /// Retries allowed for each request of the same service, for the whole fleet.
     #[serde(default = "default_retry_ratio")]
     pub retry_ratio: f64,
-    /// Repeats in a window beyond that.
+    /// Further retries allowed in a window, for the whole fleet.
     #[serde(default)]
     pub retry_extra: f64,
-    /// The window, in seconds.
+    /// Length of the window, in seconds.
     #[serde(default = "default_retry_window_s")]
     pub retry_window_s: f64,
-    /// Width of this host's link, in megabits a second; requests that it can't
-    /// carry are refused at once. None refuses none.
+    /// Bandwidth of this host's link, in megabits per second; requests that exceed it are
+    /// refused at once. Omitted for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link_mbps: Option<f64>,
-    /// How far ahead to draw on a workspace's budget, in seconds of recent
-    /// spending: what a daemon lives on while it is cut off from everybody.
+    /// How far ahead to draw on a workspace's budget, in seconds of recent spending; a daemon
+    /// that is cut off from the store and all peers spends these tokens.
     #[serde(default = "default_horizon_s")]
     pub horizon_s: f64,
-    /// At most 1/`share_divisor` of what is left is drawn at once.
+    /// At most 1/`share_divisor` of what is left of a budget is drawn at once.
     #[serde(default = "default_share_divisor")]
     pub share_divisor: u64,
-    /// Part of an equal share that is drawn at least, 0 to 1.
+    /// Fraction of an equal share that is drawn at least, 0 to 1.
     #[serde(default = "default_held_ahead")]
     pub held_ahead: f64,
-    /// One request of the most urgent rank may take no more than an equal part of what
-    /// is left of its budget, among the requests that are expected within so many
-    /// seconds, and of each lower rank within twice as many. 0 lets it take all.
+    /// Rationing window, in seconds. A request of the most urgent rank may reserve no more than
+    /// an equal part of what is left of its budget, divided among the requests expected within
+    /// the window; the window doubles with each lower rank. 0 disables rationing.
     #[serde(default = "default_ration_s")]
     pub ration_s: f64,
-    /// Whether operators evacuate halls by the platform: it is watched for that, and what
-    /// is known of it must be recent.
+    /// Whether operators evacuate halls through the platform. If so, the daemon watches the
+    /// platform's list of evacuated halls and requires it to be recent.
     #[serde(default)]
     pub follow_evacuations: bool,
-    /// The region of each hall, for requests that may be served in some alone.
+    /// Region of each hall, for requests that may be served only in some regions.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub hall_regions: BTreeMap<Name, Name>,
 }
 
-/// Milliseconds of a second.
+/// Number of milliseconds in a second.
 const SECOND_MS: f64 = 1_000.0;
 
-/// The users' deployments give 8 s.
+/// The users' deployments allow 8 s.
 fn default_stop_grace_s() -> f64 {
     8.0
 }
 
-/// The users' deployments allow 0.2.
+/// The users' deployments allow 0.2 retries per request.
 fn default_retry_ratio() -> f64 {
     0.2
 }
 
-/// The users' deployments count over 10 s.
+/// The users' deployments use a window of 10 s.
 fn default_retry_window_s() -> f64 {
     10.0
 }
 
-/// Cuts of 7 to 12 s were measured on the users' days.
+/// Network cuts last 7 to 12 s in the users' recorded days.
 fn default_horizon_s() -> f64 {
     10.0
 }
@@ -85,21 +85,21 @@
     4
 }
 
-/// A tenth of an equal share lets a workspace that was quiet begin in a cut.
+/// A tenth of an equal share lets a workspace that was idle start during a network cut.
 fn default_held_ahead() -> f64 {
     0.1
 }
 
-/// Measured on three deployments, five days of faults with three or four seeds each:
-/// of the callers from 12 s after a loss of all daemons 0.73, 0.77 and 0.75 are served
-/// in the mean and 0.48, 0.61 and 0.51 on the worst day; without 0.59, 0.65 and 0.68, and
-/// 0.32, 0.43 and 0.50. Of all callers 0.810, 0.823 and 0.783; without 0.805, 0.823, 0.794.
+/// Fraction of callers served in three deployments (five days of faults, three or four seeds
+/// each), with and without rationing. From 12 s after a loss of all daemons: mean 0.73, 0.77
+/// and 0.75 against 0.59, 0.65 and 0.68; worst day 0.48, 0.61 and 0.51 against 0.32, 0.43 and
+/// 0.50. Of all callers: 0.810, 0.823 and 0.783 against 0.805, 0.823 and 0.794.
 fn default_ration_s() -> f64 {
     0.9
 }
 
 impl EntrySettings {
-    /// Settings for a first look.
+    /// Returns example settings.
     pub fn example() -> Self {
         EntrySettings {
             ready_listen: "127.0.0.1:8083".to_owned(),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What the fleet may spend on repeats.
+    /// Returns the retries that the fleet may send.
     pub fn retry_allowance(&self) -> Allowance {
         Allowance {
             ratio: self.retry_ratio,
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Gives the budgets of a table, which say nothing of draws on this
-    /// platform, the policy of these settings.
+    /// Sets the draw policy of all budgets in `table` from these settings; on this platform the
+    /// table itself specifies none.
     pub fn apply_draw_policy(&self, table: &mut Table) {
         for row in &mut table.budgets {
             row.horizon_s = self.horizon_s;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Every fault of these settings.
+    /// Returns all faults of these settings.
     pub fn faults(&self) -> Vec<ConfigFault> {
         let mut found = Vec::new();
         let mut check = |is_wrong: bool, path: &str, problem: &str, fix: &str| {
@@ -145,10 +145,10 @@
                 found.push(ConfigFault::new(path, problem, fix));
             }
         };
-        let zero = "0 is not usable here";
+        let zero = "must not be 0";
         check(self.share_divisor == 0, "entry.share_divisor", zero, "use for example 4");
-        let negative = "the figure is negative or no number";
-        let is_usable = |figure: f64| figure.is_finite() && figure >= 0.0;
+        let negative = "must be a number that is not negative";
+        let is_usable = |number: f64| number.is_finite() && number >= 0.0;
         check(!is_usable(self.retry_ratio), "entry.retry_ratio", negative, "use for example 0.2");
         check(!is_usable(self.retry_extra), "entry.retry_extra", negative, "use for example 50");
         for (path, seconds) in [
@@ -157,19 +157,19 @@
             ("entry.horizon_s", self.horizon_s),
         ] {
             let is_wrong = !is_usable(seconds) || seconds == 0.0;
-            check(is_wrong, path, "the time is not above 0 seconds", "use for example 10");
+            check(is_wrong, path, "must be above 0 seconds", "use for example 10");
         }
         check(
             self.link_mbps.is_some_and(|mbps| !is_usable(mbps) || mbps == 0.0),
             "entry.link_mbps",
-            "the width is not above 0 megabits a second",
-            "use the link's, for example 1000, or leave it out",
+            "must be above 0 megabits per second",
+            "use the link's bandwidth, for example 1000, or omit it",
         );
         check(!is_usable(self.ration_s), "entry.ration_s", negative, "use for example 0.9");
         check(
             !(0.0..=1.0).contains(&self.held_ahead),
             "entry.held_ahead",
-            "no part of a share",
+            "must be a fraction of a share",
             "use a number from 0 to 1",
         );
         found
--- a/crates/daemon/src/base/logging.rs
+++ b/crates/daemon/src/base/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: JSON lines on standard output.
+//! Logging as JSON lines on standard output.
 
 use std::sync::Mutex;
 
@@ -6,19 +6,19 @@
 
 use crate::base::config::Config;
 
-/// Lines that may wait for a slow reader before some are dropped and counted.
-const QUEUE: usize = 4_096;
+/// Number of lines queued for a slow reader before further ones are dropped and counted.
+const QUEUE_LINES: usize = 4_096;
 
-/// A logger that writes JSON lines to standard output.
+/// Creates a logger that writes JSON lines to standard output.
 pub fn json(cfg: &Config) -> Logger {
     let lines = slog_json::Json::default(std::io::stdout());
     let lines = Mutex::new(lines).map(slog::Fuse);
-    let drain = slog_async::Async::new(lines).chan_size(QUEUE).build().fuse();
+    let drain = slog_async::Async::new(lines).chan_size(QUEUE_LINES).build().fuse();
     let level = slog::LevelFilter::new(drain, slog::Level::Info).fuse();
     Logger::root(level, o!("host" => cfg.name.to_string(), "hall" => cfg.hall.to_string()))
 }
 
-/// A logger that drops everything.
+/// Creates a logger that discards all messages.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/daemon/src/base/metrics.rs
+++ b/crates/daemon/src/base/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics: counters and latency histograms, told as text on request and, where
-//! the settings name an address, sent by UDP in the statsd protocol.
+//! Counters and latency histograms, exposed as text on request and, if an address is
+//! configured, also sent by UDP in the statsd protocol.
 
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 /// Prefix of every metric.
 const PREFIX: &str = "bankcove";
 
-/// Bounds of the histograms' buckets, in milliseconds: 1 ms to 32 s.
+/// Buckets of the histograms: upper bounds from 1 ms to 32 s, each twice the one before.
 const FIRST_BUCKET_MS: f64 = 1.0;
 const BUCKETS: u16 = 16;
 
@@ -26,7 +26,7 @@
     event: String,
 }
 
-/// Metrics of this process; copies share the figures.
+/// Metrics of this process; clones share the values.
 #[derive(Debug, Clone)]
 pub struct Metrics(Arc<Inner>);
 
@@ -43,10 +43,10 @@
 }
 
 impl Metrics {
-    /// Metrics that are also sent to this address, if there is one.
+    /// Creates metrics that are also sent to `address`, if one is given.
     ///
     /// # Errors
-    /// [`Error::Setup`] when no socket can be had.
+    /// [`Error::Setup`] when the UDP socket can't be opened.
     pub fn new(address: Option<&str>) -> Result<Self> {
         let mut registry = Registry::with_prefix(PREFIX);
         let counters = Family::<Event, Counter>::default();
@@ -61,12 +61,12 @@
     pub fn count(&self, name: &str) {
         self.0.counters.get_or_create(&Event { event: name.to_owned() }).inc();
         if let Some(statsd) = &self.0.statsd {
-            // A metric that can't be sent is no reason to disturb a request.
+            // A failed metric must not disturb a request.
             let _unsent = statsd.count(name, 1);
         }
     }
 
-    /// Counts so many events.
+    /// Counts `events` events.
     pub fn add(&self, name: &str, events: u64) {
         self.0.counters.get_or_create(&Event { event: name.to_owned() }).inc_by(events);
         if let Some(statsd) = &self.0.statsd {
@@ -85,12 +85,12 @@
         }
     }
 
-    /// All figures as text, in the exposition format that collectors read.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.0.registry) {
             Ok(()) => text,
-            Err(e) => format!("# the figures can't be written: {e}\n"),
+            Err(e) => format!("# failed to encode the metrics: {e}\n"),
         }
     }
 }
--- a/crates/daemon/src/base/store_calls.rs
+++ b/crates/daemon/src/base/store_calls.rs
@@ -1,4 +1,4 @@
-//! Tells what the calls of the store were for: what a fleet costs to keep together.
+//! Reports the number of store calls by purpose: the cost of coordinating a fleet.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use crate::base::Base;
 
-/// Time between two lines: one line of 200 bytes a daemon, and none while it asks nothing.
-const INTERVAL: Duration = Duration::from_millis(5_000);
+/// Interval between two log lines. A line has 200 bytes; without calls there is none.
+const REPORT_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// Tells the calls of each purpose, until the daemon ends.
+/// Logs and counts the store calls of each purpose until the daemon ends.
 pub async fn report(base: Base, store: Store) {
-    let mut told = store.calls().counts();
+    let mut reported = store.calls().counts();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(INTERVAL) => {}
+            () = tokio::time::sleep(REPORT_INTERVAL) => {}
             () = base.ended.cancelled() => return,
         }
         let counts = store.calls().counts();
-        let new = since(&told, &counts);
-        told = counts;
+        let new = difference(&reported, &counts);
+        reported = counts;
         if new.is_empty() {
             continue;
         }
@@ -31,15 +31,15 @@
             new.iter().map(|count| format!("{} {}", count.purpose, count.calls)).collect();
         slog::info!(base.log, "store called";
             "calls" => new.iter().map(|count| count.calls).sum::<u64>(),
-            "by_purpose" => by_purpose.join(", "), "in_ms" => INTERVAL.as_millis() as u64);
+            "by_purpose" => by_purpose.join(", "), "in_ms" => REPORT_INTERVAL.as_millis() as u64);
     }
 }
 
-/// What was counted since `before`, without purposes of which nothing was.
-fn since(before: &[CallCount], now: &[CallCount]) -> Vec<CallCount> {
-    let difference = |(before, now): (&CallCount, &CallCount)| CallCount {
+/// Returns the calls counted since `before`, without purposes that had none.
+fn difference(before: &[CallCount], now: &[CallCount]) -> Vec<CallCount> {
+    let subtract = |(before, now): (&CallCount, &CallCount)| CallCount {
         purpose: now.purpose,
         calls: now.calls - before.calls,
     };
-    before.iter().zip(now).map(difference).filter(|count| count.calls > 0).collect()
+    before.iter().zip(now).map(subtract).filter(|count| count.calls > 0).collect()
 }
--- a/crates/daemon/src/base/tcp.rs
+++ b/crates/daemon/src/base/tcp.rs
@@ -1,4 +1,4 @@
-//! Listening sockets that send small pieces at once, and whether somebody listens elsewhere.
+//! Listening sockets with `TCP_NODELAY`, and probes of other hosts' ports.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -9,12 +9,11 @@
 
 use crate::error::{Error, Result};
 
-/// Connections that may wait to be accepted.
+/// Number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens on `address`. Accepted connections take over that small writes are
-/// not held back for the acknowledgement of earlier ones: a stream's second
-/// piece would otherwise wait some 40 ms.
+/// Listens on `address`. Accepted connections inherit `TCP_NODELAY`: otherwise the second
+/// chunk of a stream would wait some 40 ms for the acknowledgement of the first.
 ///
 /// # Errors
 /// [`Error::Listen`] when the port can't be listened on.
@@ -31,32 +30,32 @@
     socket.listen(BACKLOG)
 }
 
-/// What a host says to a connection.
+/// Result of a connection attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Somebody listens at the address.
+    /// A process listens at the address.
     Accepted,
-    /// The host is there, and nobody listens.
+    /// The host is up, but no process listens at the address.
     Refused,
-    /// No word in time, or no way there.
+    /// The host did not answer in time, or there is no route to it.
     NoAnswer,
 }
 
-/// Tries to connect to `address`, and whether the connection then stays open for `hold`. The
-/// port of a process that has just ended may be open a little longer than its connections;
-/// what connects to it then is reset at once. Such a connection counts as silence.
+/// Tries to connect to `address`, and checks that the connection then stays open for `hold`.
+/// The port of a process that has just ended may accept connections a little longer, and then
+/// resets them at once. Such a connection counts as [`ProbeResult::NoAnswer`].
 pub async fn probe_and_hold(address: &str, timeout: Duration, hold: Duration) -> ProbeResult {
     match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
-            // Nobody was asked anything: whatever there is to read is an end or an error.
-            let ended = tokio::time::timeout(hold, stream.readable()).await;
-            if ended.is_ok() { ProbeResult::NoAnswer } else { ProbeResult::Accepted }
+            // No request was sent, so a readable stream means that it was closed or reset.
+            let closed = tokio::time::timeout(hold, stream.readable()).await;
+            if closed.is_ok() { ProbeResult::NoAnswer } else { ProbeResult::Accepted }
         }
-        other => connect_result(&other),
+        failed => connect_result(&failed),
     }
 }
 
-/// Tries to connect to `address`.
+/// Tries to connect to `address` within `timeout`.
 pub async fn probe(address: &str, timeout: Duration) -> ProbeResult {
     connect_result(&tokio::time::timeout(timeout, TcpStream::connect(address)).await)
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon: start, serve, planned stop.
+//! Life cycle of a daemon: start, serving and graceful shutdown.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -30,40 +30,41 @@
 use crate::view::{hall_sync, host_list, server_sync, table_sync};
 use crate::{hints, operator, peer_server};
 
-/// Pause between two looks while a planned stop waits.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a graceful shutdown checks for unrecorded bills.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a planned stop waits for a store that is away, to give tokens back, in
+/// How long a graceful shutdown waits for an unreachable store to give tokens back, in
 /// milliseconds.
-const RETIRE_PATIENCE_MS: Millis = 30_000;
+const RETIRE_TIMEOUT_MS: Millis = 30_000;
 
-/// Part of the time of a planned stop that is kept for what follows once tokens are
-/// given back, in milliseconds: the host leaves the list, and the end is logged before the
-/// kill.
-const CLOSING_MS: Millis = 300;
+/// Part of a graceful shutdown's time that is reserved for the steps after giving tokens back,
+/// in milliseconds: the host is withdrawn from the list, and the end is logged before the
+/// process is killed.
+const CLOSE_RESERVE_MS: Millis = 300;
 
-/// Pause between two tries to give tokens back.
-const RETIRE_RETRY: Duration = Duration::from_millis(500);
+/// Interval between attempts to give tokens back.
+const RETIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a start waits for the platform's list before it puts itself on it: an earlier
-/// start may have left it there, and a read takes some 10 ms.
-const LIST_PATIENCE: Duration = Duration::from_millis(300);
+/// How long a starting daemon waits to read the platform's list before it announces itself: the
+/// entry of an earlier start may still be there. A read takes some 10 ms.
+const LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A list is that of an earlier start of this host when it was read longer ago than a
-/// planned stop may have ended and a start begun, in milliseconds: peers of a fleet that
-/// lost power together read it up to a second before this start.
-const EARLIER_START_MS: i64 = 1_000;
+/// Greatest age of a list, relative to this start, at which it counts as current, in
+/// milliseconds. An older one may stem from an earlier start of this host that has since been
+/// shut down gracefully. Peers of a fleet that lost power together read the list up to a second
+/// before this start.
+const MAX_LIST_AGE_AT_START_MS: i64 = 1_000;
 
-/// Pause between two tries to be put on the platform's list.
-const ANNOUNCE_RETRY: Duration = Duration::from_secs(1);
+/// Interval between attempts to announce this host to the platform.
+const ANNOUNCE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the sides may take to close their idle connections.
+/// How long the HTTP listeners may take to close their idle connections.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Does what the arguments ask for.
+/// Runs the daemon or the command that the arguments select.
 ///
 /// # Errors
-/// What the person at the command line has to be told.
+/// Errors to print at the command line.
 pub fn run(args: Args) -> Result<()> {
     if args.print_defaults {
         let text = serde_json::to_string_pretty(&Config::example()).unwrap_or_default();
@@ -79,7 +80,7 @@
     let cfg = Config::read(&path)?;
     let runtime = match cfg.adapter {
         Adapter::Own => tokio::runtime::Builder::new_multi_thread().enable_all().build(),
-        // The users' hosts show one core, and wake-ups of more threads are paid for.
+        // The users' hosts have one visible core, and waking further threads costs time.
         Adapter::Objects => tokio::runtime::Builder::new_current_thread().enable_all().build(),
     };
     runtime.map_err(Error::Setup)?.block_on(serve_until_signal(cfg, &path))
@@ -106,16 +107,15 @@
     Ok(())
 }
 
-/// A daemon that serves.
+/// A running daemon.
 pub struct Running {
-    /// Its state.
     pub daemon: Arc<Daemon>,
     entry: Option<Arc<Entry>>,
     sides: Vec<Side>,
 }
 
 impl Running {
-    /// Starts every side and background task of a daemon.
+    /// Starts all listeners and background tasks of a daemon.
     ///
     /// # Errors
     /// [`Error::Listen`] when a port can't be listened on.
@@ -145,11 +145,11 @@
             }
         }
         if daemon.cfg.limits.witnesses == 0 {
-            // Without sealed grants all that is held is lost with its holder.
+            // Without sealed grants, a holder that crashes loses all tokens that it holds.
             tokio::spawn(tend::tend(Arc::clone(&daemon.budgets)));
         }
         tokio::spawn(store_calls::report(daemon.fleet.base.clone(), daemon.store.clone()));
-        tokio::spawn(announce(Arc::clone(&daemon)));
+        tokio::spawn(keep_announced(Arc::clone(&daemon)));
         tokio::spawn(host_list::follow_host_list(Arc::clone(&daemon.view)));
         tokio::spawn(membership::send_heartbeats(Arc::clone(&daemon.membership)));
         tokio::spawn(membership::send_at_once(Arc::clone(&daemon.membership)));
@@ -164,21 +164,21 @@
         if daemon.cfg.follows_evacuations() {
             tokio::spawn(hall_sync::watch(Arc::clone(&daemon.view)));
         }
-        let greeter = Arc::clone(&daemon.membership);
-        tokio::spawn(async move { membership::greet_seed_peers(&greeter).await });
+        let membership = Arc::clone(&daemon.membership);
+        tokio::spawn(async move { membership::greet_seed_peers(&membership).await });
         slog::info!(daemon.log, "serving";
             "incarnation" => %daemon.incarnation, "callers" => &daemon.cfg.caller_listen);
         Ok(Running { daemon, entry: started, sides })
     }
 
-    /// Reads the settings anew. What callers are served by is in force at once;
-    /// addresses and the rest are in force from the next start on.
+    /// Reloads the settings. Settings for serving callers take effect at once; addresses and all
+    /// others take effect at the next start.
     fn reload(&self, path: &Path) {
         let daemon = &self.daemon;
         let cfg = match Config::read(path) {
             Ok(cfg) => cfg,
             Err(e) => {
-                // Faults are told one by one; the settings in force stay.
+                // The report lists all faults; the settings in force are kept.
                 let report = format!("{:?}", miette::Report::new(e));
                 slog::error!(daemon.log, "settings not reloaded"; "why" => report);
                 return;
@@ -191,8 +191,8 @@
         slog::info!(daemon.log, "settings reloaded"; "changed" => is_changed);
     }
 
-    /// Stops as planned: nothing in flight is cut, and everything held is
-    /// given back but for what requests in flight may still cost.
+    /// Shuts down gracefully: requests in flight are finished, and all held tokens are given
+    /// back except those that requests in flight may still spend.
     pub async fn stop(self) {
         let daemon = &self.daemon;
         let deadline = daemon.clock.now() + daemon.cfg.limits.stop_timeout_ms;
@@ -203,39 +203,40 @@
             }
             None => end_work(daemon, deadline).await,
         };
-        // Peers learn at once that this daemon takes nothing new.
+        // Announces to peers at once that this daemon accepts no new requests.
         let ((), retired) =
             tokio::join!(membership::beat(&daemon.membership), retire(daemon, deadline));
         if let Err(e) = daemon.store.withdraw(&own_host(daemon)).await {
-            slog::warn!(daemon.log, "this host stays on the list"; "error" => %e);
+            slog::warn!(daemon.log, "failed to withdraw this host from the list"; "error" => %e);
         }
         slog::info!(daemon.log, "stopped"; "finished" => finished, "retired" => retired,
             "open" => daemon.requests.work.len(), "reserved" => daemon.budgets.holder().total_reserved(),
             "bills_waiting" => daemon.billing.waiting());
-        // What is open may go on until the platform's kill. Time over: the sides end.
-        let _over = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await;
+        // Open requests may run until the platform kills the process. At the deadline the
+        // listeners are stopped.
+        let _all_ended = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await;
         self.sides.iter().for_each(|side| side.handle.stop_graceful(CLOSE_TIMEOUT));
-        // The sides end by themselves; a failed task has ended as well.
+        // The listeners' tasks end by themselves; a failed task counts as ended.
         let ends = self.sides.into_iter().map(|side| side.task);
         let _ended = tokio::time::timeout(CLOSE_TIMEOUT * 2, futures::future::join_all(ends)).await;
         daemon.ended.cancel();
     }
 }
 
-/// Takes no more requests and waits until those in flight have ended and are
-/// billed; whether all have ended.
+/// Stops accepting requests and waits until those in flight have ended and their bills are
+/// recorded. Returns whether all requests have ended.
 async fn end_work(daemon: &Arc<Daemon>, deadline: Millis) -> bool {
     slog::info!(daemon.log, "stopping"; "in_flight" => daemon.requests.work.len());
     daemon.requests.stopping.cancel();
     daemon.requests.work.close();
     let finished = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await.is_some();
     while daemon.billing.waiting() > 0 && daemon.clock.now() < deadline {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     finished
 }
 
-/// Starts the sides of a platform with a wire of its own.
+/// Starts the listeners for a platform with a protocol of its own.
 async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<Side>> {
     let mut sides = Vec::new();
     if let Some(address) = &entry.settings.metrics_listen {
@@ -258,50 +259,51 @@
     }
 }
 
-/// Keeps this host on the platform's list, where an earlier start may have left it; looks
-/// at each list that is read.
-async fn announce(daemon: Arc<Daemon>) {
+/// Keeps this host on the platform's list: checks each list that is read, and announces the
+/// host if it is missing. An earlier start may have left it on the list.
+async fn keep_announced(daemon: Arc<Daemon>) {
     let host = own_host(&daemon);
-    let look_again = Duration::from_millis(daemon.cfg.limits.host_list_ms);
-    // An earlier start that stopped as planned took the host off before it ended.
-    let mut known_since = -EARLIER_START_MS;
+    let check_interval = Duration::from_millis(daemon.cfg.limits.host_list_ms);
+    // An earlier start that was shut down gracefully withdrew the host before it ended.
+    let mut known_since = -MAX_LIST_AGE_AT_START_MS;
     let mut is_announced = false;
-    // Either is good: the list, or no answer in time.
-    let _unread =
-        tokio::time::timeout(LIST_PATIENCE, host_list::host_list_read(&daemon.view)).await;
+    // Continues with the list or, after the timeout, without it.
+    let _unread = tokio::time::timeout(LIST_TIMEOUT, host_list::host_list_read(&daemon.view)).await;
     loop {
         let list = daemon.view.hosts.load_full();
         let is_known_missing = list.is_read_since(known_since);
         let is_listed = list.names_since(&host, known_since);
         let is_away = daemon.fleet.contact.is_store_away(daemon.clock.now());
-        let mut pause = look_again;
+        let mut pause = check_interval;
         if !is_listed && (is_known_missing || !is_announced) {
-            pause = ANNOUNCE_RETRY;
+            pause = ANNOUNCE_RETRY_INTERVAL;
             if !is_away {
-                is_announced = put_on_list(&daemon, &host).await;
+                is_announced = announce_host(&daemon, &host).await;
                 known_since = daemon.clock.now() as i64;
             }
         }
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            // A planned stop takes the host off the list; it is not to come back.
+            // A graceful shutdown withdraws the host, which must not be announced again.
             () = daemon.requests.leaving.cancelled() => return,
             () = daemon.ended.cancelled() => return,
         }
     }
 }
 
-async fn put_on_list(daemon: &Daemon, host: &Host) -> bool {
+async fn announce_host(daemon: &Daemon, host: &Host) -> bool {
     let announced = daemon.store.announce(host).await;
     if let Err(e) = &announced {
-        slog::warn!(daemon.log, "this host is not on the list yet"; "error" => %e);
+        slog::warn!(daemon.log, "failed to announce this host; retrying"; "error" => %e);
     }
     announced.is_ok()
 }
 
-/// Gives everything held back to the store; again while the store is away.
+/// Gives all held tokens back to the store, and retries while the store is unreachable. Returns
+/// whether it succeeded.
 async fn retire(daemon: &Arc<Daemon>, deadline: Millis) -> bool {
-    let deadline = deadline.saturating_sub(CLOSING_MS).min(daemon.clock.now() + RETIRE_PATIENCE_MS);
+    let deadline =
+        deadline.saturating_sub(CLOSE_RESERVE_MS).min(daemon.clock.now() + RETIRE_TIMEOUT_MS);
     loop {
         if draws::retire(&daemon.budgets).await {
             return true;
@@ -309,7 +311,7 @@
         if daemon.clock.now() >= deadline {
             return false;
         }
-        tokio::time::sleep(RETIRE_RETRY).await;
+        tokio::time::sleep(RETIRE_RETRY_INTERVAL).await;
     }
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,5 +1,5 @@
-//! One daemon: its layers, put together. What serves callers, operators and peers is handed this;
-//! the layers below know each only what it is built from.
+//! Assembly of a daemon from its layers. The code that serves callers, operators and peers gets
+//! the whole daemon; each lower layer gets only the parts that it depends on.
 
 use std::sync::Arc;
 
@@ -28,50 +28,46 @@
 use crate::requests::Requests;
 use crate::view::View;
 
-/// One daemon.
+/// A daemon with all its state.
 pub struct Daemon {
-    /// Its settings.
     pub cfg: Arc<Config>,
-    /// This start of it.
+    /// Identifier of this start of the daemon.
     pub incarnation: Incarnation,
-    /// Its clocks.
     pub clock: Clock,
-    /// Its logger.
     pub log: Logger,
-    /// Its metrics.
     pub metrics: Metrics,
     /// The platform's store.
     pub store: Store,
-    /// Connections to backend servers.
+    /// HTTP client for backend servers.
     pub http: reqwest::Client,
-    /// The table in force; none until the first one is adopted.
+    /// Table in force; none until the first one is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
-    /// The routing state.
+    /// Routing state of the backend servers.
     pub router: Arc<Mutex<Router>>,
-    /// What is known of the platform.
+    /// Table and lists as read from the platform or received from peers.
     pub view: Arc<View>,
-    /// The other daemons.
+    /// Membership, health and store contact of the fleet.
     pub fleet: Fleet,
-    /// Budgets held and shards owned.
+    /// Budgets that this daemon holds, and budget shards that it owns.
     pub budgets: Arc<Budgets>,
-    /// Bills that wait for the store.
+    /// Bills to be recorded in the store.
     pub billing: Arc<Billing>,
     /// Connections to peers.
     pub peers: Arc<PeerPool>,
-    /// What is known of servers that crashed, and under which requests.
+    /// Crashes of backend servers, and the requests that they were running.
     pub crashes: Arc<Crashes>,
-    /// The limits that servers name, and the permits that follow from them.
+    /// Limits announced by servers, and the permits derived from them.
     pub hints: Arc<Hints>,
-    /// Heartbeats, and what else is told with them.
+    /// Heartbeats and the state sent with them.
     pub membership: Arc<Membership>,
-    /// What requests of callers are served with.
+    /// State for serving callers' requests.
     pub requests: Arc<Requests>,
-    /// Cancelled when background tasks are to end.
+    /// Cancelled when background tasks must end.
     pub ended: CancellationToken,
 }
 
 impl Daemon {
-    /// A daemon that serves nothing yet.
+    /// Creates a daemon that does not serve requests yet.
     ///
     /// # Errors
     /// [`crate::Error::Setup`] when the process can't be set up.
@@ -80,7 +76,7 @@
         Daemon::with_store(cfg, log, store)
     }
 
-    /// A daemon that serves nothing yet, on the platform of this store.
+    /// Creates a daemon on the platform of `store` that does not serve requests yet.
     ///
     /// # Errors
     /// [`crate::Error::Setup`] when the process can't be set up.
@@ -167,7 +163,7 @@
         }))
     }
 
-    /// Revision of the table in force; 0 when there is none yet.
+    /// Returns the revision of the table in force; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.requests.revision()
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' side: table, budgets, status, dump. Everything there needs
-//! the operators' token.
+//! HTTP API for operators: table, budgets, status and dump. Every request requires the
+//! operators' token.
 
 pub mod dump;
 
@@ -20,26 +20,26 @@
 use crate::identity::tokens_match;
 use crate::view::table_sync::{self, EditError};
 
-/// Largest body that operators may send, in bytes.
+/// Maximum size of the body of an edit, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A top-up, as operators send it.
+/// Body of a top-up request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TopUpRequest {
-    /// Identity, so that a repeat counts once.
+    /// Identifier of the top-up; repeats with the same one count once.
     pub id: String,
     /// Tokens to add.
     pub tokens: Tokens,
 }
 
-/// The daemon that an operator asks.
+/// Returns the daemon that handles the request.
 fn daemon(depot: &Depot) -> Arc<Daemon> {
     let daemon = depot.obtain::<Arc<Daemon>>();
     Arc::clone(daemon.expect("the daemon is injected into every route"))
 }
 
-/// Routes of the operators' side.
+/// Returns the routes for operators.
 pub fn router(daemon: Arc<Daemon>) -> Router {
     Router::with_path("v1")
         .hoop(affix_state::inject(daemon))
@@ -56,7 +56,7 @@
         .push(Router::with_path("dump").get(get_dump))
 }
 
-/// Routes of the side that tells metrics and state on a platform's own network.
+/// Returns the routes that serve metrics and the dump on the platform's network.
 pub fn metrics_router(daemon: Arc<Daemon>) -> Router {
     Router::new()
         .hoop(affix_state::inject(daemon))
@@ -77,10 +77,10 @@
     ctrl: &mut FlowCtrl,
 ) {
     let daemon = daemon(depot);
-    let shown = admission::header(req, "authorization").and_then(|v| v.strip_prefix("Bearer "));
+    let presented = admission::header(req, "authorization").and_then(|v| v.strip_prefix("Bearer "));
     let expected = daemon.cfg.operator_token.as_deref();
     let matches = |token| expected.is_some_and(|expected| tokens_match(token, expected));
-    if !shown.is_some_and(matches) {
+    if !presented.is_some_and(matches) {
         let message = "show the operators' token as 'Authorization: Bearer TOKEN'";
         fail(res, StatusCode::UNAUTHORIZED, "bad_token", message);
         ctrl.skip_rest();
@@ -106,7 +106,7 @@
     match table_sync::edit(&daemon.view, &edit).await {
         Ok(table) => {
             slog::info!(daemon.log, "edit accepted"; "change" => &edit.id, "who" => &edit.who);
-            // A repeat of an old change is told the revision that it made.
+            // For a repeat of an earlier change, this is the revision that the change produced.
             let revision = table.change(&edit.id).map_or(table.revision, |change| change.revision);
             res.render(Json(json!({ "revision": revision })));
         }
@@ -179,18 +179,18 @@
     }
 }
 
-/// Requests that run nowhere any more.
+/// Lists the blocked requests.
 #[handler]
 async fn get_blocked(depot: &mut Depot, res: &mut Response) {
     res.render(Json(daemon(depot).crashes.blocks()));
 }
 
-/// Lets a blocked request run again, at all daemons.
+/// Lifts the block of a request on all daemons.
 #[handler]
 async fn lift_blocked(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let daemon = daemon(depot);
-    let named: String = req.param("request").unwrap_or_default();
-    let request = match named.parse() {
+    let fingerprint: String = req.param("request").unwrap_or_default();
+    let request = match fingerprint.parse() {
         Ok(request) => request,
         Err(e) => {
             let message = format!("{e}; see 'bankcove blocked list'");
@@ -205,13 +205,13 @@
     res.render(Json(json!({"lifted": request})));
 }
 
-/// Limits that servers name, and the permits of this daemon.
+/// Lists the limits announced by servers, and this daemon's permits.
 #[handler]
 async fn get_limits(depot: &mut Depot, res: &mut Response) {
     res.render(Json(daemon(depot).hints.dump()));
 }
 
-/// What each backend server is to this daemon.
+/// Lists the state of each backend server on this daemon.
 #[handler]
 async fn get_servers(depot: &mut Depot, res: &mut Response) {
     let daemon = daemon(depot);
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -1,4 +1,4 @@
-//! The whole state of a daemon, for people.
+//! State of a daemon for people: a summary and a full dump.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::budget::statement;
 use crate::daemon::Daemon;
 
-/// State of this daemon in a few lines.
+/// Returns a summary of the daemon's state and its peers.
 pub fn status(daemon: &Daemon) -> Value {
     let now = daemon.clock.now();
     let peers: Vec<Value> = {
@@ -38,7 +38,7 @@
     })
 }
 
-/// Everything that this daemon knows, without keys.
+/// Returns the daemon's full state without keys.
 pub async fn dump(daemon: &Arc<Daemon>) -> Value {
     let holder = daemon.budgets.holder().clone();
     let free: HashMap<String, Tokens> = holder
@@ -50,7 +50,7 @@
     let holdings: Vec<DaemonHolding> = free.keys().map(held).collect();
     let mut table = daemon.table.load().as_ref().map(|table| (**table).clone());
     if let Some(table) = &mut table {
-        // Not even hashes of keys leave by a dump.
+        // A dump contains no hashes of keys either.
         table.workspaces.iter_mut().for_each(|row| row.keys_sha256.clear());
     }
     let servers = daemon.router.lock().servers().to_vec();
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of ages and deadlines on a host that is suspended: the steady clock, and tokio's
-//! timers with it, stand still meanwhile, and the other goes on.
+//! Ages and deadlines on a host that is suspended. The monotonic clock and tokio's timers stop
+//! during a suspension; the daemon's clock includes it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_was_known_before_a_suspension_is_as_old_as_it() {
+fn the_age_of_a_view_includes_a_suspension() {
     let (host, clock) = host();
     let mut view = Freshness::new(false);
     view.record_table_read(clock.now());
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_a_suspension_has_outlasted_ends_when_the_host_wakes() {
+async fn a_wait_whose_deadline_passed_in_a_suspension_ends_on_resume() {
     let (host, clock) = host();
     let deadline = clock.now() + 15_000;
     let waiting = clock.clone();
@@ -66,13 +66,13 @@
     tokio::task::yield_now().await;
     host.suspend(20 * SECOND);
     clock.notify_resumed();
-    // tokio's clock has not moved: only the wake can end it.
-    assert_eq!(wait.await.expect("it ends"), None);
+    // tokio's clock has not advanced, so only the notification can end the wait.
+    assert_eq!(wait.await.expect("the wait ends"), None);
     assert!(clock.time_until(deadline).is_zero());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_goes_on_after_a_suspension_that_it_outlasts() {
+async fn a_wait_whose_deadline_is_after_the_suspension_continues() {
     let (host, clock) = host();
     let deadline = clock.now() + 15_000;
     host.suspend(5 * SECOND);
@@ -84,9 +84,9 @@
 
 #[parameterized(
     at_once = { 1_010, 1_010 },
-    after_the_whole_wait = { 3_500, 3_500 },
-    after_a_sleep = { 9_000, 1_000 },
+    after_the_longest_wait = { 3_500, 3_500 },
+    after_a_suspension = { 9_000, 1_000 },
 )]
-fn an_answer_that_waited_for_a_host_to_wake_is_as_old_as_its_question(came_at: u64, true_at: u64) {
-    assert_eq!(answer_time(1_000, came_at, 2_500), true_at);
+fn an_answer_read_after_a_suspension_is_as_old_as_its_request(came_at: u64, expected: u64) {
+    assert_eq!(answer_time(1_000, came_at, 2_500), expected);
 }
--- a/crates/daemon/tests/locks.rs
+++ b/crates/daemon/tests/locks.rs
@@ -1,9 +1,9 @@
-//! Tasks of one daemon run at the same time and must not wait for each other for ever.
+//! Guards against a deadlock between concurrent tasks of one daemon.
 //!
-//! Symptom: once, right after the start of a fleet, a daemon answered nobody any more,
-//! not even its operators, and its process still ran. Sequence: a heartbeat was written
-//! while a table was put in force. Cause: the heartbeat kept the lock of the list of
-//! servers while it waited for the router's, an adoption took them the other way round.
+//! Composing a heartbeat held the lock of the server list while it waited for the router's;
+//! adopting a table took the two locks in the opposite order. Right after the start of a
+//! fleet, a daemon in this state answered no request any more, not even from operators,
+//! although its process was still running.
 
 use std::sync::Arc;
 use std::sync::mpsc::channel;
@@ -15,33 +15,34 @@
 use bankcoved::daemon::Daemon;
 use bankcoved::view::table_sync;
 
-/// Times that both are done: where they can stop each other, they do so within the first
-/// few thousand.
-const TIMES: u64 = 100_000;
+/// Number of rounds of each task; if a deadlock is possible, it occurs within the first few
+/// thousand.
+const ROUNDS: u64 = 100_000;
 
-/// After this long they are taken to have stopped each other: they take 1 s alone.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Time after which a deadlock is assumed; the tasks take 1 s alone.
+const DEADLOCK_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[test]
-fn a_heartbeat_is_written_while_a_table_is_put_in_force() {
+fn heartbeats_and_table_adoptions_do_not_deadlock() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
-    let daemon = Daemon::new(Config::example(), logging::discard()).expect("it can be set up");
+    let daemon =
+        Daemon::new(Config::example(), logging::discard()).expect("the daemon can be set up");
     let (tx, rx) = channel();
-    let (beating, beats_tx) = (Arc::clone(&daemon), tx.clone());
+    let (sender, heartbeats_tx) = (Arc::clone(&daemon), tx.clone());
     std::thread::spawn(move || {
-        for _ in 0..TIMES {
-            beating.membership.heartbeat();
+        for _ in 0..ROUNDS {
+            sender.membership.heartbeat();
         }
-        beats_tx.send("heartbeats")
+        heartbeats_tx.send("heartbeats")
     });
     std::thread::spawn(move || {
         let _entered = runtime.enter();
-        for revision in 1..=TIMES {
+        for revision in 1..=ROUNDS {
             table_sync::adopt(&daemon.view, Table { revision, ..Table::default() });
         }
         tx.send("tables")
     });
     for _ in 0..2 {
-        rx.recv_timeout(PATIENCE).expect("neither waits for the other for ever");
+        rx.recv_timeout(DEADLOCK_TIMEOUT).expect("the tasks do not deadlock");
     }
 }
