--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -11,9 +11,9 @@
 use bankcove_standins::engine::{self, Settings};
 use bankcove_standins::{Running, service, store};
 use bankcoved::base::config::Config;
-use bankcoved::controller;
 use bankcoved::daemon::Daemon;
 use bankcoved::identity::hash_key;
+use bankcoved::lifecycle;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::net::TcpSocket;
@@ -48,7 +48,7 @@
 struct Demo {
     store: Running,
     servers: Vec<Running>,
-    daemons: Vec<controller::Running>,
+    daemons: Vec<lifecycle::Running>,
     http: reqwest::Client,
 }
 
@@ -74,7 +74,7 @@
             let ports = Ports::reserve()?;
             let cfg = settings(n, &table, &store.address().to_string(), &ports)?;
             let daemon = Daemon::new(cfg, bankcoved::base::logging::discard())?;
-            daemons.push(controller::Running::start(daemon).await?);
+            daemons.push(lifecycle::Running::start(daemon).await?);
         }
         let demo = Demo { store, servers, daemons, http };
         demo.list_hosts().await?;
@@ -84,7 +84,7 @@
     }
 
     async fn list_hosts(&self) -> Result<()> {
-        let host = |running: &controller::Running| Host {
+        let host = |running: &lifecycle::Running| Host {
             name: running.daemon.cfg.name.clone(),
             hall: running.daemon.cfg.hall.clone(),
             address: running.daemon.cfg.peer_listen.clone(),
@@ -203,7 +203,7 @@
     }
 
     async fn stop(self) {
-        let stopping = self.daemons.into_iter().map(controller::Running::stop);
+        let stopping = self.daemons.into_iter().map(lifecycle::Running::stop);
         futures::future::join_all(stopping).await;
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,8 +4,8 @@
 mod blocked;
 mod budget;
 mod client;
+mod commands;
 mod config;
-mod controller;
 mod demo;
 mod drain;
 mod error;
@@ -24,7 +24,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    match controller::run(args) {
+    match commands::run(args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             let code = e.exit_code();
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -201,7 +201,7 @@
         turn = read_load_reports(&api, turn).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = api.requests.base.ended.cancelled() => return,
+            () = api.requests.base.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/base.rs
+++ b/crates/daemon/src/base.rs
@@ -32,5 +32,5 @@
     /// Connections to peers.
     pub peers: Arc<PeerPool>,
     /// Cancelled when background tasks must end.
-    pub ended: CancellationToken,
+    pub shutdown: CancellationToken,
 }
--- a/crates/daemon/src/base/store_calls.rs
+++ b/crates/daemon/src/base/store_calls.rs
@@ -16,7 +16,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(REPORT_INTERVAL) => {}
-            () = base.ended.cancelled() => return,
+            () = base.shutdown.cancelled() => return,
         }
         let counts = store.calls().counts();
         let new = difference(&reported, &counts);
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -71,7 +71,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(RETRY) => {}
-            () = billing.fleet.base.ended.cancelled() => return,
+            () = billing.fleet.base.shutdown.cancelled() => return,
         }
         hand_over_once(&billing).await;
     }
--- a/crates/daemon/src/budget/tend.rs
+++ b/crates/daemon/src/budget/tend.rs
@@ -28,7 +28,7 @@
         tokio::select! {
             () = tokio::time::sleep(TEND) => {}
             () = next_phase_of_stop(&budgets) => {}
-            () = budgets.fleet.base.ended.cancelled() => return,
+            () = budgets.fleet.base.shutdown.cancelled() => return,
         }
         log_holdings(&budgets);
         let Some(table) = budgets.table.load_full() else { continue };
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -163,7 +163,7 @@
         loop {
             tokio::select! {
                 () = self.to_decide.notified() => {}
-                () = self.fleet.base.ended.cancelled() => return,
+                () = self.fleet.base.shutdown.cancelled() => return,
             }
             tokio::time::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
             let now = self.fleet.base.clock.now();
--- a/crates/daemon/src/crashes/keep.rs
+++ b/crates/daemon/src/crashes/keep.rs
@@ -50,7 +50,7 @@
 pub async fn keep(crashes: Arc<Crashes>) {
     tokio::select! {
         () = read_then_write(&crashes) => {}
-        () = crashes.fleet.base.ended.cancelled() => {}
+        () = crashes.fleet.base.shutdown.cancelled() => {}
     }
 }
 
--- a/crates/daemon/src/crashes/spread.rs
+++ b/crates/daemon/src/crashes/spread.rs
@@ -35,7 +35,7 @@
         loop {
             tokio::select! {
                 () = self.to_tell.notified() => {}
-                () = self.fleet.base.ended.cancelled() => return,
+                () = self.fleet.base.shutdown.cancelled() => return,
             }
             tokio::time::sleep(GATHER).await;
             let gathered = std::mem::take(&mut *self.news.lock());
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -50,7 +50,7 @@
             return true;
         }
         if crashes.fleet.base.clock.now() >= doubted_until
-            || crashes.fleet.base.ended.is_cancelled()
+            || crashes.fleet.base.shutdown.is_cancelled()
         {
             return false;
         }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -63,7 +63,7 @@
     /// State for serving callers' requests.
     pub requests: Arc<Requests>,
     /// Cancelled when background tasks must end.
-    pub ended: CancellationToken,
+    pub shutdown: CancellationToken,
 }
 
 impl Daemon {
@@ -93,7 +93,7 @@
             log: log.clone(),
             metrics: Metrics::new(cfg.metrics.as_deref())?,
             peers: Arc::default(),
-            ended: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             cfg: Arc::new(cfg),
         };
         let cfg = Arc::clone(&base.cfg);
@@ -156,7 +156,7 @@
             view,
             membership: Arc::new(membership),
             requests: Arc::new(requests),
-            ended: base.ended,
+            shutdown: base.shutdown,
             incarnation,
             log,
             cfg,
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -145,7 +145,7 @@
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => Turn::Wait,
-            () = self.base.ended.cancelled() => Turn::End,
+            () = self.base.shutdown.cancelled() => Turn::End,
         }
     }
 
@@ -178,7 +178,7 @@
             let left = self.base.clock.time_until(until);
             tokio::select! {
                 () = tokio::time::sleep(left.min(TOLD_POLL)) => {}
-                () = self.base.ended.cancelled() => return,
+                () = self.base.shutdown.cancelled() => return,
             }
             if self.base.clock.now() >= until || self.is_told_by_peers() {
                 return;
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -16,7 +16,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(LOOK) => {}
-            () = fleet.base.ended.cancelled() => return,
+            () = fleet.base.shutdown.cancelled() => return,
         }
         let suspended = fleet.base.clock.suspended_time();
         let since = suspended.saturating_sub(known);
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -219,7 +219,7 @@
         // The listeners' tasks end by themselves; a failed task counts as ended.
         let ends = self.sides.into_iter().map(|side| side.task);
         let _ended = tokio::time::timeout(CLOSE_TIMEOUT * 2, futures::future::join_all(ends)).await;
-        daemon.ended.cancel();
+        daemon.shutdown.cancel();
     }
 }
 
@@ -286,7 +286,7 @@
             () = tokio::time::sleep(pause) => {}
             // A graceful shutdown withdraws the host, which must not be announced again.
             () = daemon.requests.leaving.cancelled() => return,
-            () = daemon.ended.cancelled() => return,
+            () = daemon.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -3,10 +3,10 @@
 use clap::Parser;
 
 use bankcoved::args::Args;
-use bankcoved::controller;
+use bankcoved::lifecycle;
 
 fn main() -> miette::Result<()> {
     let args = Args::parse();
-    controller::run(args)?;
+    lifecycle::run(args)?;
     Ok(())
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -192,7 +192,7 @@
         beat(&membership).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
     }
 }
@@ -203,7 +203,7 @@
     loop {
         tokio::select! {
             () = membership.fleet.to_tell.notified() => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
         let membership = Arc::clone(&membership);
         tokio::spawn(async move { beat(&membership).await });
@@ -248,7 +248,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(GREET_RETRY) => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/membership/unread_news.rs
+++ b/crates/daemon/src/membership/unread_news.rs
@@ -26,7 +26,7 @@
     loop {
         tokio::select! {
             () = membership.unread_changed.notified() => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
         if membership.fleet.is_small() {
             tell_all(&membership);
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -183,7 +183,7 @@
 pub async fn serve(daemon: Arc<Daemon>) -> Result<()> {
     let listener = tcp::listen(&daemon.cfg.peer_listen)?;
     tokio::spawn(async move {
-        let ended = daemon.ended.clone();
+        let ended = daemon.shutdown.clone();
         tokio::select! {
             () = accept(&daemon, listener) => {}
             () = ended.cancelled() => {}
@@ -206,7 +206,7 @@
 
 /// Answers one peer until it leaves or the daemon ends.
 async fn answer(daemon: Arc<Daemon>, stream: TcpStream) {
-    let ended = daemon.ended.clone();
+    let ended = daemon.shutdown.clone();
     let transport = tarpc::serde_transport::new(framed(stream), Bincode::default());
     let channel = BaseChannel::with_defaults(transport);
     let requests = channel.execute(Server { daemon }.serve()).for_each(|response| async {
--- a/crates/daemon/src/view/hall_sync.rs
+++ b/crates/daemon/src/view/hall_sync.rs
@@ -24,7 +24,7 @@
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
             watched = view.store.watch_halls(at, WATCH) => watched,
-            () = view.fleet.base.ended.cancelled() => return,
+            () = view.fleet.base.shutdown.cancelled() => return,
         };
         match watched {
             Ok(None) => return,
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -38,7 +38,7 @@
         let pause = pause.min(interval);
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = view.fleet.base.ended.cancelled() => return,
+            () = view.fleet.base.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/view/server_sync.rs
+++ b/crates/daemon/src/view/server_sync.rs
@@ -36,7 +36,7 @@
             view.fleet.contact.store_not_watched();
             tokio::select! {
                 () = tokio::time::sleep(pause) => continue,
-                () = view.fleet.base.ended.cancelled() => return,
+                () = view.fleet.base.shutdown.cancelled() => return,
             }
         }
         if view.fleet.awaits_peers() {
@@ -49,7 +49,7 @@
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
             watched = view.store.watch_servers(at, wait) => watched,
-            () = view.fleet.base.ended.cancelled() => return,
+            () = view.fleet.base.shutdown.cancelled() => return,
         };
         match watched {
             Ok(None) => return,
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -68,7 +68,7 @@
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
             watched = view.store.watch::<Table>(Kind::Table, TABLE_NAME, at, WATCH) => watched,
-            () = view.fleet.base.ended.cancelled() => return,
+            () = view.fleet.base.shutdown.cancelled() => return,
         };
         match watched {
             Ok(watched) => {
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -17,7 +17,7 @@
     &["requests"],
     &["api", "entry"],
     &["daemon"],
-    &["operator", "peer_server", "controller"],
+    &["operator", "peer_server", "lifecycle"],
 ];
 
 fn files_of(src: &Path, layer: &str) -> Vec<PathBuf> {
