--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,36 +1,36 @@
-//! Arguments of the command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
 use bankcove_core::Fingerprint;
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 
-/// Runs a fleet of bankcove daemons: their table, budgets and drains.
+/// Manages a fleet of bankcove daemons: their table, budgets and drains.
 ///
-/// Each command talks to one daemon's operator port; what it changes is in
-/// force at all of them within seconds. The daemon's address and the token
-/// come from flags, from the environment, or from a JSON file with the fields
-/// "server" and "token".
+/// Each command connects to one daemon's operator port; its changes take
+/// effect on all daemons within seconds. The daemon's address and the token
+/// are taken from flags, from the environment, or from a JSON file with the
+/// fields "server" and "token".
 ///
-/// Exit codes: 0 done; 1 refused or at fault; 2 unusable arguments; 3 a row
-/// has changed since it was read; 4 not known whether it was done, so send it
-/// again; 5 the daemon can't be reached.
+/// Exit codes: 0 success; 1 refused or failed; 2 invalid arguments; 3 a row
+/// has changed since it was read; 4 unknown whether the change was made, so
+/// send it again; 5 the daemon can't be reached.
 #[derive(Debug, Parser)]
 #[command(name = "bankcove", version)]
 pub struct Args {
-    /// Which daemon to talk to and how to print.
+    /// Daemon to connect to, and output format.
     #[command(flatten)]
     pub connection: Connection,
 
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Which daemon to talk to, and how to print.
+/// Daemon to connect to, and output format.
 #[derive(Debug, Clone, ClapArgs)]
 pub struct Connection {
-    /// Operator port of a daemon, IP number and port.
+    /// Operator port of a daemon: IP address and port.
     #[arg(long, global = true, env = "BANKCOVE_SERVER", value_name = "ADDRESS")]
     pub server: Option<String>,
 
@@ -42,12 +42,12 @@
     #[arg(long, global = true, env = "BANKCOVE_CONFIG", value_name = "FILE")]
     pub config: Option<PathBuf>,
 
-    /// How to print.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t)]
     pub output: Format,
 }
 
-/// How to print.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, ValueEnum)]
 pub enum Format {
     /// Aligned columns, for people.
@@ -59,7 +59,7 @@
     Csv,
 }
 
-/// What to do.
+/// Command to run.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Read, check and change the table of weights and limits.
@@ -68,69 +68,69 @@
     /// Change one row.
     #[command(subcommand)]
     Row(RowCommand),
-    /// Look at budgets and add to them.
+    /// Show budgets and add tokens to them.
     #[command(subcommand)]
     Budget(BudgetCommand),
-    /// Look at requests that crashed their servers and run nowhere any more.
+    /// Show and unblock requests that are blocked because they crashed their servers.
     #[command(subcommand)]
     Blocked(BlockedCommand),
-    /// Show which backend servers name a limit, and what the daemon may send them.
+    /// Show which backend servers announce a limit, and how much the daemon may send them.
     Limits,
     /// Show which backend servers get requests from the daemon, and why the others don't.
     Servers,
-    /// Make keys for callers.
+    /// Create and hash keys for callers.
     #[command(subcommand)]
     Key(KeyCommand),
-    /// Let a backend server finish its work and take nothing new.
+    /// Stop sending new requests to a backend server; running ones are finished.
     Drain {
         /// The server's name.
         #[arg(value_name = "SERVER")]
         name: String,
     },
-    /// Let a drained backend server take work again.
+    /// Send new requests to a drained backend server again.
     Undrain {
         /// The server's name.
         #[arg(value_name = "SERVER")]
         name: String,
     },
-    /// Give the servers of a hall nothing new; what runs there goes on.
+    /// Stop sending new requests to the servers of a hall; running ones are finished.
     Evacuate {
         /// The hall's name.
         #[arg(value_name = "HALL")]
         name: String,
     },
-    /// Let the servers of an evacuated hall take work again.
+    /// Send new requests to the servers of an evacuated hall again.
     Reopen {
         /// The hall's name.
         #[arg(value_name = "HALL")]
         name: String,
     },
-    /// Show a daemon and its peers, and who is behind with the table.
+    /// Show the status of a daemon and its peers, and whose table is outdated.
     Status,
-    /// Print everything that a daemon knows, as JSON.
+    /// Print the full state of a daemon as JSON.
     Dump,
     /// Send requests to a daemon at a steady rate and measure the answers.
     Load(LoadArgs),
-    /// Run stand-ins and three daemons in this process, for a first look.
+    /// Run stand-ins and three daemons in this process, as a demonstration.
     Demo {
-        /// Send a few requests, print what came of them, and exit.
+        /// Send a few requests, print the answers, and exit.
         #[arg(long)]
         once: bool,
     },
-    /// Run a stand-in of what stands around bankcove, for tests.
+    /// Run a stand-in of a service that bankcove uses, for tests.
     #[command(hide = true, subcommand)]
     Standin(StandinCommand),
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
 }
 
-/// What to do with the table.
+/// Command for the table.
 #[derive(Debug, Subcommand)]
 pub enum TableCommand {
-    /// Check a file as a whole and name every fault.
+    /// Check a file and report all faults.
     Check {
         /// JSON file with the table.
         file: PathBuf,
@@ -140,11 +140,11 @@
         /// JSON file with the table.
         file: PathBuf,
     },
-    /// Make the table what a file says; rows that the file lacks are removed.
+    /// Replace the table by that of a file; rows that the file lacks are removed.
     Apply {
         /// JSON file with the table.
         file: PathBuf,
-        /// Identity of the change; a repeat with the same one counts once.
+        /// Identifier of the change; repeats with the same one count once.
         #[arg(long)]
         change: Option<String>,
     },
@@ -153,28 +153,28 @@
         /// Only this sheet: halls, workspaces, budgets, servers or routes.
         sheet: Option<String>,
     },
-    /// Print the last changes: when, who, which rows.
+    /// Print the most recent changes: time, user and rows.
     History,
 }
 
-/// What to do with a row.
+/// Command for a row.
 #[derive(Debug, Subcommand)]
 pub enum RowCommand {
     /// Set fields of a row, or add a row.
     ///
-    /// Values are JSON; text that is no JSON is taken as a string.
+    /// Values are JSON; text that is not valid JSON is used as a string.
     Set {
         /// The sheet: halls, workspaces, budgets, servers or routes.
         sheet: String,
         /// The row's name.
         name: String,
-        /// Fields, like weight=2 or state=draining.
+        /// Fields, for example weight=2 or state=draining.
         #[arg(required = true, value_name = "FIELD=VALUE")]
         fields: Vec<String>,
-        /// Version that the edit is made from; the one in force when left out.
+        /// Version on which the edit is based; the one in force if omitted.
         #[arg(long)]
         from_version: Option<u64>,
-        /// Identity of the change; a repeat with the same one counts once.
+        /// Identifier of the change; repeats with the same one count once.
         #[arg(long)]
         change: Option<String>,
     },
@@ -184,16 +184,16 @@
         sheet: String,
         /// The row's name.
         name: String,
-        /// Identity of the change; a repeat with the same one counts once.
+        /// Identifier of the change; repeats with the same one count once.
         #[arg(long)]
         change: Option<String>,
     },
 }
 
-/// What to do with a budget.
+/// Command for a budget.
 #[derive(Debug, Subcommand)]
 pub enum BudgetCommand {
-    /// Show what a budget has and who holds it.
+    /// Show the tokens of a budget and the daemons that hold them.
     Show {
         /// The budget's name.
         name: String,
@@ -204,108 +204,108 @@
         name: String,
         /// Tokens to add.
         tokens: u64,
-        /// Identity of the top-up; a repeat with the same one counts once.
+        /// Identifier of the top-up; repeats with the same one count once.
         #[arg(long)]
         change: Option<String>,
     },
 }
 
-/// What to do with blocked requests.
+/// Command for blocked requests.
 #[derive(Debug, Subcommand)]
 pub enum BlockedCommand {
-    /// Show them, with the servers that crashed under each.
+    /// List the blocked requests with the servers that each one crashed.
     List,
-    /// Let one run again, at all daemons.
+    /// Unblock a request on all daemons.
     Lift {
-        /// Its fingerprint, 32 hexadecimal digits, as in the list and in logs.
+        /// Fingerprint of the request: 32 hexadecimal digits, as in the list and in logs.
         fingerprint: Fingerprint,
     },
 }
 
-/// What to do with keys.
+/// Command for keys.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Make a new key; the table takes its hash, the caller the key itself.
+    /// Create a key: the caller gets the key itself, the table its hash.
     New,
-    /// Print the hash of a key that is read from standard input.
+    /// Print the hash of a key read from standard input.
     Hash,
 }
 
-/// A stand-in.
+/// Stand-in to run.
 #[derive(Debug, Subcommand)]
 pub enum StandinCommand {
     /// The platform's object API and host list.
     Store {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: String,
     },
     /// A model engine.
     Engine {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: String,
-        /// Time between two tokens, in milliseconds.
+        /// Interval between tokens, in milliseconds.
         #[arg(long, default_value_t = 4)]
         step_ms: u64,
-        /// Requests that run at once.
+        /// Number of requests that run at once.
         #[arg(long, default_value_t = 32)]
         slots: usize,
-        /// Whether it ignores orders.
+        /// Ignore the daemons' orders to accept or refuse requests.
         #[arg(long)]
         ignores_orders: bool,
-        /// A prompt with this in it crashes the process.
+        /// Text that crashes the process when a prompt contains it.
         #[arg(long, value_name = "TEXT")]
         crash_on: Option<String>,
     },
-    /// A plain service.
+    /// A service without a model.
     Service {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: String,
     },
 }
 
-/// What load to send.
+/// Arguments of the load generator.
 #[derive(Debug, Clone, ClapArgs)]
 pub struct LoadArgs {
-    /// Caller ports of daemons; requests go to them in turn.
+    /// Caller ports of daemons; requests are sent to them in turn.
     #[arg(long = "target", required = true, value_name = "ADDRESS")]
     pub targets: Vec<String>,
-    /// Stand-ins of backend servers, of which it is told what each got.
+    /// Stand-ins of backend servers; the report includes the requests that each received.
     #[arg(long = "stand-in", value_name = "ADDRESS")]
     pub stand_ins: Vec<String>,
     /// Bearer keys of workspaces; requests use them in turn.
     #[arg(long = "key", required = true)]
     pub keys: Vec<String>,
-    /// Models to ask for; each request takes one at random.
+    /// Models to request; each request uses one at random.
     #[arg(long = "model", required = true)]
     pub models: Vec<String>,
-    /// Requests a second.
+    /// Request rate, per second.
     #[arg(long, default_value_t = 20.0)]
     pub rate: f64,
-    /// How long to send, in seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 10.0)]
     pub duration: f64,
-    /// Greatest length of a prompt, in bytes; lengths vary below it.
+    /// Maximum length of a prompt, in bytes; lengths vary up to it.
     #[arg(long, default_value_t = 400)]
     pub prompt_bytes: usize,
     /// Output limit of each request, in tokens.
     #[arg(long, default_value_t = 16)]
     pub max_tokens: u64,
-    /// Share of requests that ask for a stream.
+    /// Fraction of requests whose answer is streamed.
     #[arg(long, default_value_t = 0.8)]
     pub streams: f64,
-    /// Prompt of a caller that sends the same request again and again.
+    /// Prompt of a caller that repeats the same request.
     #[arg(long, value_name = "TEXT")]
     pub repeated_prompt: Option<String>,
-    /// Share of requests that are this caller's.
+    /// Fraction of requests that this caller sends.
     #[arg(long, default_value_t = 0.1)]
     pub repeated_share: f64,
-    /// Retries of a request that was not done, as a caller would.
+    /// Maximum number of retries of a request that was not completed.
     #[arg(long, default_value_t = 2)]
     pub retries: u32,
-    /// Seed of everything that is drawn at random.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
--- a/crates/cli/src/blocked.rs
+++ b/crates/cli/src/blocked.rs
@@ -1,4 +1,4 @@
-//! Commands of requests that crashed their servers.
+//! Commands for requests that are blocked because they crashed their servers.
 
 use bankcove_core::crashes::Block;
 use serde_json::{Value, json};
@@ -9,13 +9,13 @@
 use crate::error::Result;
 use crate::output;
 
-/// Milliseconds of a second.
+/// Number of milliseconds in a second.
 const SECOND_MS: u64 = 1_000;
 
-/// Runs a command of blocked requests.
+/// Runs a command for blocked requests.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run(cfg: &Config, command: BlockedCommand) -> Result<()> {
     let client = Client::new(cfg)?;
     match command {
@@ -25,7 +25,7 @@
         }
         BlockedCommand::Lift { fingerprint } => {
             client.lift(fingerprint).await?;
-            println!("request {fingerprint} may run again");
+            println!("request {fingerprint} is no longer blocked");
         }
     }
     Ok(())
--- a/crates/cli/src/budget.rs
+++ b/crates/cli/src/budget.rs
@@ -1,4 +1,4 @@
-//! Commands of budgets.
+//! Commands for budgets.
 
 use serde_json::{Value, json};
 
@@ -9,10 +9,10 @@
 use crate::output;
 use crate::table::new_change_id;
 
-/// Runs a command of budgets.
+/// Runs a command for budgets.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run(cfg: &Config, command: BudgetCommand) -> Result<()> {
     let client = Client::new(cfg)?;
     match command {
@@ -45,10 +45,10 @@
     let Some(holders) = budget["statement"]["holders"].as_array() else { return };
     let holders: Vec<Value> = holders
         .iter()
-        .map(|one| {
+        .map(|holder| {
             json!({
-                "name": one["daemon"], "held": one["held"], "set aside": one["reserved"],
-                "spent": one["spent"],
+                "name": holder["daemon"], "held": holder["held"], "set aside": holder["reserved"],
+                "spent": holder["spent"],
             })
         })
         .collect();
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of a daemon's operator port.
+//! HTTP client for a daemon's operator port.
 
 use bankcove_core::Fingerprint;
 use bankcove_core::crashes::Block;
@@ -13,10 +13,10 @@
 use crate::config::Config;
 use crate::error::{Error, Result};
 
-/// Longest wait for an answer.
+/// Timeout of a request.
 const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// A client of one daemon.
+/// Client of one daemon.
 pub struct Client {
     http: reqwest::Client,
     address: String,
@@ -36,25 +36,25 @@
     faults: Vec<RowFault>,
 }
 
-/// What an accepted edit made.
+/// Response to an accepted edit.
 #[derive(Debug, Deserialize)]
 pub struct Accepted {
-    /// Revision of the table.
+    /// Revision of the table that the edit produced.
     pub revision: u64,
 }
 
 impl Client {
-    /// A client of the daemon that the configuration names.
+    /// Creates a client of the configured daemon.
     ///
     /// # Errors
-    /// [`Error::NoConnection`] when it names none.
+    /// [`Error::NoConnection`] when no address or token is configured.
     pub fn new(cfg: &Config) -> Result<Self> {
         let http = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
         let http = http.map_err(|e| Error::Setup(std::io::Error::other(e)))?;
         Ok(Client { http, address: cfg.server()?.to_owned(), token: cfg.token()?.to_owned() })
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -65,12 +65,13 @@
     /// Sends an edit.
     ///
     /// # Errors
-    /// [`Error::Faults`] when the table would have faults, else as above.
+    /// [`Error::Faults`] when the edited table would have faults, otherwise
+    /// [`Error::Unreachable`] or [`Error::Refused`].
     pub async fn edit(&self, edit: &Edit) -> Result<Accepted> {
         self.call(self.request(Method::POST, "table/edits").json(edit)).await
     }
 
-    /// What a budget has and who holds it.
+    /// Returns a budget's tokens and the daemons that hold them.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -78,7 +79,7 @@
         self.call(self.request(Method::GET, &format!("budgets/{name}"))).await
     }
 
-    /// Adds to a budget.
+    /// Adds tokens to a budget; `id` identifies the top-up, so that repeats count once.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// Requests that run nowhere any more.
+    /// Returns the blocked requests.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -97,7 +98,7 @@
         self.call(self.request(Method::GET, "blocked")).await
     }
 
-    /// The limits that backend servers name, one row a server.
+    /// Returns the limits announced by backend servers, one row per server.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -105,7 +106,7 @@
         self.call(self.request(Method::GET, "limits")).await
     }
 
-    /// What each backend server is to the daemon, one row a server.
+    /// Returns the state of each backend server on the daemon, one row per server.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -113,7 +114,7 @@
         self.call(self.request(Method::GET, "servers")).await
     }
 
-    /// Lets a blocked request run again.
+    /// Unblocks a request.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// The daemon's state in a few lines.
+    /// Returns a summary of the daemon's state.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
@@ -131,7 +132,7 @@
         self.call(self.request(Method::GET, "status")).await
     }
 
-    /// Everything that the daemon knows.
+    /// Returns the daemon's full state.
     ///
     /// # Errors
     /// [`Error::Unreachable`] or [`Error::Refused`].
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Does what the arguments ask for.
+//! Dispatch of the subcommands, and the small ones among them.
 
 use clap::CommandFactory;
 use serde_json::{Value, json};
@@ -9,13 +9,13 @@
 use crate::error::{Error, Result};
 use crate::{blocked, budget, demo, drain, limits, load, output, servers, standin, table};
 
-/// Bytes of a new key.
+/// Length of a new key, in bytes.
 const KEY_BYTES: usize = 32;
 
 /// Runs the command.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub fn run(args: Args) -> Result<()> {
     let cfg = Config::new(&args.connection)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
@@ -78,12 +78,12 @@
         output::json(&status);
         return Ok(());
     }
-    let me = json!({
+    let summary = json!({
         "name": status["name"], "hall": status["hall"], "revision": status["revision"],
         "in flight": status["requests_in_flight"], "bills waiting": status["bills_waiting"],
         "store heard ms ago": status["store_heard_ms_ago"], "stopping": status["stopping"],
     });
-    output::rows(&[me], cfg.format);
+    output::rows(&[summary], cfg.format);
     let newest = newest_revision(&status);
     let peers = status["peers"].as_array().cloned().unwrap_or_default();
     let peers: Vec<Value> = peers.into_iter().map(|peer| with_lag(peer, newest)).collect();
@@ -98,6 +98,7 @@
     revisions.chain(status["revision"].as_u64()).max().unwrap_or(0)
 }
 
+/// Adds the number of revisions by which the peer's table is outdated.
 fn with_lag(mut peer: Value, newest: u64) -> Value {
     let revision = peer["revision"].as_u64().unwrap_or(0);
     peer["revisions behind"] = json!(newest - revision);
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! Which daemon to talk to: flags before the environment before a file.
+//! Connection settings. Flags take precedence over the environment, and that over a file.
 
 use std::path::Path;
 
@@ -8,12 +8,12 @@
 use crate::args::{Connection, Format};
 use crate::error::{Error, Result};
 
-/// Where to connect and how to print.
+/// Daemon to connect to, and output format.
 #[derive(Debug, Clone)]
 pub struct Config {
     server: Option<String>,
     token: Option<String>,
-    /// How to print.
+    /// Output format.
     pub format: Format,
 }
 
@@ -25,10 +25,10 @@
 }
 
 impl Config {
-    /// Builds the configuration from what the command line gave.
+    /// Builds the configuration from the command line, and from the file that it names.
     ///
     /// # Errors
-    /// When the file that was named can't be used.
+    /// [`Error::ReadFile`] or [`Error::FileShape`] when the file can't be used.
     pub fn new(connection: &Connection) -> Result<Self> {
         let file: File = match &connection.config {
             Some(path) => read_json(path)?,
@@ -41,26 +41,26 @@
         })
     }
 
-    /// The daemon's operator port.
+    /// Returns the address of the daemon's operator port.
     ///
     /// # Errors
-    /// [`Error::NoConnection`] when none is given.
+    /// [`Error::NoConnection`] when none is configured.
     pub fn server(&self) -> Result<&str> {
         let missing = Error::NoConnection { what: "server", variable: "BANKCOVE_SERVER" };
         self.server.as_deref().ok_or(missing)
     }
 
-    /// The operators' token.
+    /// Returns the operators' token.
     ///
     /// # Errors
-    /// [`Error::NoConnection`] when none is given.
+    /// [`Error::NoConnection`] when none is configured.
     pub fn token(&self) -> Result<&str> {
         let missing = Error::NoConnection { what: "token", variable: "BANKCOVE_TOKEN" };
         self.token.as_deref().ok_or(missing)
     }
 }
 
-/// Reads a JSON file; an error names the field.
+/// Reads a JSON file; errors contain the path of the invalid field.
 ///
 /// # Errors
 /// [`Error::ReadFile`] or [`Error::FileShape`].
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: stand-ins and three daemons in this process, on loopback.
+//! Demo: stand-ins and three daemons in this process, on loopback.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -21,28 +21,28 @@
 use crate::error::{Error, Result};
 use crate::table::new_change_id;
 
-/// The table of the demo: the first of the two example tables.
+/// Table of the demo: the first of the two example tables.
 const TABLE: &str = include_str!("../../../examples/vaasa.json");
 
-/// Daemons of the demo.
+/// Number of daemons in the demo.
 const DAEMONS: usize = 3;
 
 /// Token of the demo's operators.
 const OPERATOR_TOKEN: &str = "demo-operators";
 
-/// Key of the demo's caller; it belongs to the workspace `dispatch`.
+/// Key of the demo's caller, in the workspace `dispatch`.
 const KEY: &str = "demo-dispatch-key";
 
 /// Workspace of the demo's caller.
 const WORKSPACE: &str = "dispatch";
 
-/// Pause between two looks while the daemons start.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval at which the demo checks whether the daemons have started.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks before the demo gives up.
-const LOOKS: u32 = 200;
+/// Number of checks before the demo fails.
+const MAX_POLLS: u32 = 200;
 
-/// Requests of `demo --once`.
+/// Number of requests sent by `demo --once`.
 const REQUESTS: u32 = 3;
 
 struct Demo {
@@ -52,10 +52,10 @@
     http: reqwest::Client,
 }
 
-/// Runs the demo until ctrl-C, or for a few requests.
+/// Runs the demo until ctrl-C or, with `once`, until a few requests are answered.
 ///
 /// # Errors
-/// When it can't be started, or a request comes to nothing.
+/// When the demo can't be started or a request fails.
 pub async fn run(once: bool) -> Result<()> {
     let demo = Demo::start().await?;
     let outcome = if once { demo.send_requests().await } else { demo.wait_for_interrupt().await };
@@ -83,6 +83,7 @@
         Ok(demo)
     }
 
+    /// Writes the daemons to the store's host list.
     async fn list_hosts(&self) -> Result<()> {
         let host = |running: &lifecycle::Running| Host {
             name: running.daemon.cfg.name.clone(),
@@ -110,13 +111,13 @@
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_POLLS {
             if self.daemons.iter().all(|running| running.daemon.revision() > 0) {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(Error::Demo("the daemons did not take the table over".to_owned()))
+        Err(Error::Demo("the daemons did not adopt the table in time".to_owned()))
     }
 
     fn caller_address(&self, n: u32) -> &str {
@@ -143,17 +144,17 @@
             );
         }
         let address = self.caller_address(0);
-        println!("\nA request, answered as a stream:\n");
+        println!("\nA request with a streamed answer:\n");
         println!(
             "  curl -sN http://{address}/v1/chat/completions -H 'Authorization: Bearer {KEY}' \
              -H 'Content-Type: application/json' -d '{}'",
-            body("The ramp at the east door is iced over.")
+            chat_request("The ramp at the east door is iced over.")
         );
         let operators = operator_address(&self.daemons[0].daemon.cfg);
-        println!("\nWhat is left of the budget, and the table:\n");
+        println!("\nThe state of the budget, and the table:\n");
         println!("  bankcove --server {operators} --token {OPERATOR_TOKEN} budget show dispatch");
         println!("  bankcove --server {operators} --token {OPERATOR_TOKEN} table get");
-        println!("\nctrl-C ends it.");
+        println!("\nPress ctrl-C to stop.");
     }
 
     async fn send_requests(&self) -> Result<()> {
@@ -169,28 +170,28 @@
             statement.left(),
             statement.held
         );
-        let elsewhere = statement.unaccounted();
-        if elsewhere != 0 {
-            println!("{elsewhere} are set aside, on their way, or with daemons that have ended");
+        let unavailable = statement.unaccounted();
+        if unavailable != 0 {
+            println!("{unavailable} are reserved, in transit, or at daemons that have ended");
         }
         Ok(())
     }
 
     async fn send_request(&self, n: u32) -> Result<String> {
         let url = format!("http://{}/v1/chat/completions", self.caller_address(n));
-        let body = body(&format!("Summarise the handover of shift {n}."));
+        let body = chat_request(&format!("Summarise the handover of shift {n}."));
         let req = self.http.post(url).bearer_auth(KEY).json(&body);
         let res = req.send().await.map_err(|e| Error::Demo(e.to_string()))?;
         let text = res.text().await.map_err(|e| Error::Demo(e.to_string()))?;
         if !text.contains("[DONE]") {
             return Err(Error::Demo(text));
         }
-        Ok(text_of(&text))
+        Ok(stream_text(&text))
     }
 
     async fn statement(&self) -> Result<Statement> {
         #[derive(Deserialize)]
-        struct Shown {
+        struct BudgetResponse {
             statement: Statement,
         }
 
@@ -198,8 +199,8 @@
         let url = format!("http://{}/v1/budgets/{WORKSPACE}", operator_address(cfg));
         let req = self.http.get(url).bearer_auth(OPERATOR_TOKEN);
         let res = req.send().await.map_err(|e| Error::Demo(e.to_string()))?;
-        let shown: Shown = res.json().await.map_err(|e| Error::Demo(e.to_string()))?;
-        Ok(shown.statement)
+        let response: BudgetResponse = res.json().await.map_err(|e| Error::Demo(e.to_string()))?;
+        Ok(response.statement)
     }
 
     async fn stop(self) {
@@ -208,7 +209,7 @@
     }
 }
 
-/// The example table, its servers replaced by stand-ins.
+/// Starts the stand-ins and returns the example table with their addresses as servers.
 async fn start_servers() -> Result<(Table, Vec<Running>)> {
     let mut table: Table = serde_json::from_str(TABLE)
         .map_err(|e| Error::Demo(format!("examples/vaasa.json: {e}")))?;
@@ -232,11 +233,12 @@
     Ok((table, servers))
 }
 
-/// Where the operators of a demo daemon connect.
+/// Returns the address on which operators connect to a daemon of the demo.
 fn operator_address(cfg: &Config) -> &str {
     cfg.operator_listen.as_deref().unwrap_or_default()
 }
 
+/// Returns the settings of the `n`th daemon.
 fn settings(n: usize, table: &Table, store: &str, ports: &Ports) -> Result<Config> {
     let hall = table.halls[n % table.halls.len()].name.clone();
     Ok(Config {
@@ -253,8 +255,8 @@
     })
 }
 
-/// Ports of one daemon. They stay bound until it listens on them: a port that is only looked up
-/// may be another program's, or an outgoing connection's, by then.
+/// Ports of one daemon. They stay bound until the daemon listens on them: otherwise another
+/// program or an outgoing connection could get them in the meantime.
 struct Ports {
     callers: TcpSocket,
     peers: TcpSocket,
@@ -267,7 +269,7 @@
     }
 }
 
-/// A port that nobody else gets, and on which whoever sets `SO_REUSEADDR` may listen.
+/// Binds a free port, on which a socket with `SO_REUSEADDR` can still listen.
 fn reserve_port() -> Result<TcpSocket> {
     let reserve = || {
         let socket = TcpSocket::new_v4()?;
@@ -282,14 +284,15 @@
     Ok(socket.local_addr().map_err(Error::Setup)?.to_string())
 }
 
-fn body(prompt: &str) -> Value {
+fn chat_request(prompt: &str) -> Value {
     json!({
         "model": "dispatch-8b", "stream": true, "max_tokens": 12,
         "messages": [{"role": "user", "content": prompt}],
     })
 }
 
-fn text_of(stream: &str) -> String {
+/// Returns the text of a streamed answer.
+fn stream_text(stream: &str) -> String {
     let data = stream.lines().filter_map(|line| line.strip_prefix("data: "));
     let pieces = data.filter_map(|data| serde_json::from_str::<Value>(data).ok());
     let texts = pieces.map(|piece| {
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,4 +1,4 @@
-//! Draining a backend server, or all of a hall, and taking it back.
+//! Commands that drain a backend server or a whole hall, and undo it.
 
 use serde_json::json;
 
@@ -7,10 +7,10 @@
 use crate::error::Result;
 use crate::table;
 
-/// Sets whether a row of this sheet, a server or a hall, takes new work.
+/// Sets whether a server or a hall, a row of `sheet`, accepts new requests.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run(cfg: &Config, sheet: &str, name: &str, drain: bool) -> Result<()> {
     let state = if drain { "draining" } else { "serving" };
     let fields = vec![("state".to_owned(), json!(state))];
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the client, and its exit codes.
+//! Errors and exit codes of the client.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,16 +6,16 @@
 use bankcove_core::error::RowFault;
 use miette::Diagnostic;
 
-/// Exit code: refused or at fault.
+/// Exit code: refused or failed.
 const REFUSED: u8 = 1;
 /// Exit code: a row has changed since it was read.
 const CONFLICT: u8 = 3;
-/// Exit code: not known whether it was done.
+/// Exit code: unknown whether the change was made.
 const UNKNOWN: u8 = 4;
 /// Exit code: the daemon can't be reached.
 const UNREACHABLE: u8 = 5;
 
-/// One fault of a table, for printing.
+/// Fault of a table, for printing.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{sheet} '{row}', field '{field}': {problem}")]
 #[diagnostic(help("{fix}"))]
@@ -39,16 +39,16 @@
     }
 }
 
-/// An error of this layer.
+/// Error of the client.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum Error {
-    /// Neither flags nor environment nor a file name a daemon.
+    /// No address or token is given by flags, environment or file.
     #[error("no {what} is given")]
     #[diagnostic(help("use --{what}, the environment's {variable}, or --config FILE"))]
     NoConnection {
-        /// What is missing.
+        /// Name of the missing setting.
         what: &'static str,
-        /// The variable that could hold it.
+        /// Environment variable that may contain it.
         variable: &'static str,
     },
     /// A file can't be read.
@@ -56,18 +56,18 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// A file does not hold what it should.
+    /// A file's content is not valid.
     #[error("{}: at '{place}': {problem}", path.display())]
-    #[diagnostic(help("mend the file at that place"))]
+    #[diagnostic(help("correct the file there"))]
     FileShape {
         /// The file.
         path: PathBuf,
-        /// Path of the field.
+        /// Path of the invalid field.
         place: String,
-        /// What is wrong there.
+        /// Description of the problem.
         problem: String,
     },
     /// A table has faults.
@@ -77,37 +77,39 @@
     #[error("{0}")]
     #[diagnostic(help("see 'bankcove help'"))]
     Usage(String),
-    /// The daemon refused.
+    /// The daemon refused the request.
     #[error("{code}: {message}")]
     Refused {
         /// Machine-readable code.
         code: String,
-        /// What the daemon said.
+        /// Message of the daemon.
         message: String,
     },
     /// The daemon can't be reached.
     #[error("the daemon at {address} can't be reached")]
-    #[diagnostic(help("is the address a daemon's operator port? a change may be sent again"))]
+    #[diagnostic(help(
+        "check that the address is a daemon's operator port; a change may be sent again"
+    ))]
     Unreachable {
-        /// The address.
+        /// Address of its operator port.
         address: String,
-        /// What was seen.
+        /// Error of the connection.
         source: reqwest::Error,
     },
-    /// The process can't be set up, or a port not be listened on.
-    #[error("can't set up")]
+    /// The process can't be set up, or a port can't be listened on.
+    #[error("can't set up the process")]
     Setup(#[source] std::io::Error),
     /// An embedded daemon can't be started.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Daemon(#[from] bankcoved::Error),
-    /// A request of the demo was not answered as it should be.
-    #[error("the demo's request came to nothing: {0}")]
+    /// A request of the demo failed.
+    #[error("a request of the demo failed: {0}")]
     Demo(String),
 }
 
 impl Error {
-    /// The exit code that tells a script what happened.
+    /// Returns the exit code for scripts.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
             Error::Refused { code, .. } if code == "row_conflict" => CONFLICT,
@@ -119,5 +121,5 @@
     }
 }
 
-/// Result of this layer.
+/// Result of the client.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/cli/src/limits.rs
+++ b/crates/cli/src/limits.rs
@@ -1,14 +1,14 @@
-//! The command that shows the limits of backend servers.
+//! Command that shows the limits of backend servers.
 
 use crate::client::Client;
 use crate::config::Config;
 use crate::error::Result;
 use crate::output;
 
-/// Shows the limits that the daemon knows of.
+/// Shows the limits known to the daemon.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run(cfg: &Config) -> Result<()> {
     let rows = Client::new(cfg)?.limits().await?;
     output::rows(&rows, cfg.format);
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: requests at a steady rate, whatever the answers take, and
-//! latencies from the time that each was meant to be sent.
+//! Load generator with an open loop: requests are sent at a constant rate, however long the
+//! answers take, and latencies count from the time at which each request was due.
 
 mod servers;
 
@@ -19,25 +19,25 @@
 use crate::error::{Error, Result};
 use crate::output;
 
-/// Longest latency that is told apart, in microseconds.
-const MAX_MICROS: u64 = 600_000_000;
+/// Upper bound of recorded latencies, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// Digits of a latency that are kept.
-const DIGITS: u8 = 3;
+/// Number of significant digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest wait for one attempt.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause before a retry when the answer names none.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before a retry when the response specifies none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest pause before a retry.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// Maximum delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Pause between two looks at the progress.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval between updates of the progress bar.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One request, as it was drawn.
+/// A generated request.
 struct Request {
     number: u64,
     due: Instant,
@@ -50,19 +50,24 @@
     retries: u32,
 }
 
-/// What became of a request, or of its last attempt.
+/// Outcome of a request, or of its last attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
+    /// The answer is complete.
     Done,
+    /// No backend server executed the request.
     NotRun,
+    /// The request may or may not have been executed.
     Unknown,
+    /// The stream contains more chunks than the usage states.
     Doubled,
+    /// The stream lacks chunks or mixes several runs.
     Wrong,
 }
 
-/// What one request came to.
+/// Measurements of one request.
 struct Sample {
-    fate: Fate,
+    outcome: Outcome,
     attempts: u32,
     first_token: Option<Duration>,
     between: Vec<Duration>,
@@ -90,7 +95,7 @@
     max_ms: f64,
 }
 
-/// Sends the load and prints what came of it.
+/// Sends the load and prints the report.
 ///
 /// # Errors
 /// [`Error::Usage`] when the arguments can't be used.
@@ -98,41 +103,42 @@
     if !(args.rate > 0.0 && args.duration > 0.0) {
         return Err(Error::Usage("--rate and --duration must be above 0".to_owned()));
     }
-    let http = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build();
+    let http = reqwest::Client::builder().no_proxy().timeout(ATTEMPT_TIMEOUT).build();
     let http = http.map_err(|e| Error::Setup(std::io::Error::other(e)))?;
     let before = servers::counts(&http, &args.stand_ins).await?;
     let (tx, rx) = mpsc::unbounded_channel();
-    let collecting = tokio::spawn(collect(rx, (args.rate * args.duration) as u64));
+    let collector = tokio::spawn(collect(rx, (args.rate * args.duration) as u64));
     send_all(args, http.clone(), tx).await;
-    let report = collecting.await.map_err(|e| Error::Setup(std::io::Error::other(e)))?;
+    let report = collector.await.map_err(|e| Error::Setup(std::io::Error::other(e)))?;
     let rows = servers::rows(&http, &args.stand_ins, &before).await?;
     report.print(args, format, &rows);
     Ok(())
 }
 
-/// Sends each request when it is due. The channel closes when all have ended.
+/// Sends each request when it is due. The channel closes once all requests have ended.
 async fn send_all(args: &LoadArgs, http: reqwest::Client, tx: mpsc::UnboundedSender<Sample>) {
     let mut rng = StdRng::seed_from_u64(args.seed);
     let start = Instant::now();
     let run = Arc::<str>::from(format!("{:08x}", rand::random::<u32>()));
     let count = (args.rate * args.duration) as u64;
     for number in 0..count {
-        let request = draw(args, &mut rng, number, start);
+        let request = generate_request(args, &mut rng, number, start);
         tokio::time::sleep_until(request.due).await;
         let (http, tx, run) = (http.clone(), tx.clone(), Arc::clone(&run));
         tokio::spawn(async move {
             let sample = send(&http, &request, &run).await;
-            // The collector reads until every sender is gone.
+            // The collector receives until all senders are dropped.
             let _collected = tx.send(sample);
         });
     }
 }
 
-fn draw(args: &LoadArgs, rng: &mut StdRng, number: u64, start: Instant) -> Request {
+fn generate_request(args: &LoadArgs, rng: &mut StdRng, number: u64, start: Instant) -> Request {
     let turn = number as usize;
     let length = rng.random_range(1..=args.prompt_bytes.max(1));
     let prompt = "ramp ".chars().cycle().take(length).collect();
-    // Nothing is drawn for a load without such a caller, so that its seeds stay what they are.
+    // Draws no random number if no such caller is configured, so that the load of a given seed
+    // does not depend on this option.
     let repeated = args.repeated_prompt.as_ref();
     let repeated = repeated.filter(|_| rng.random_bool(args.repeated_share.clamp(0.0, 1.0)));
     Request {
@@ -148,9 +154,10 @@
     }
 }
 
+/// Sends a request, with retries, and measures it.
 async fn send(http: &reqwest::Client, request: &Request, run: &str) -> Sample {
     let mut sample = Sample {
-        fate: Fate::Unknown,
+        outcome: Outcome::Unknown,
         attempts: 0,
         first_token: None,
         between: Vec::new(),
@@ -159,11 +166,11 @@
     while sample.attempts <= request.retries {
         sample.attempts += 1;
         sample.between.clear();
-        let pause = attempt(http, request, run, &mut sample).await;
+        let delay = attempt(http, request, run, &mut sample).await;
         sample.whole = request.due.elapsed();
-        match sample.fate {
-            Fate::NotRun | Fate::Unknown if sample.attempts <= request.retries => {
-                tokio::time::sleep(pause.min(LONGEST_RETRY)).await;
+        match sample.outcome {
+            Outcome::NotRun | Outcome::Unknown if sample.attempts <= request.retries => {
+                tokio::time::sleep(delay.min(MAX_RETRY_DELAY)).await;
             }
             _ => break,
         }
@@ -171,7 +178,7 @@
     sample
 }
 
-/// One attempt; returns when to come back.
+/// Makes one attempt and records it in `sample`. Returns the delay before a retry.
 async fn attempt(
     http: &reqwest::Client,
     request: &Request,
@@ -187,21 +194,23 @@
         .bearer_auth(&request.key)
         .header("idempotency-key", format!("load-{run}-{}", request.number))
         .json(&body);
-    sample.fate = Fate::Unknown;
+    sample.outcome = Outcome::Unknown;
     let mut res = match req.send().await {
         Ok(res) => res,
         Err(e) => {
-            sample.fate = if e.is_connect() { Fate::NotRun } else { Fate::Unknown };
-            return RETRY;
+            sample.outcome = if e.is_connect() { Outcome::NotRun } else { Outcome::Unknown };
+            return DEFAULT_RETRY_DELAY;
         }
     };
     if !res.status().is_success() {
         let problem: Value = res.json().await.unwrap_or_default();
-        sample.fate = match problem["error"]["outcome"].as_str() {
-            Some("not_run") => Fate::NotRun,
-            _ => Fate::Unknown,
+        sample.outcome = match problem["error"]["outcome"].as_str() {
+            Some("not_run") => Outcome::NotRun,
+            _ => Outcome::Unknown,
         };
-        return problem["error"]["retry_after_ms"].as_u64().map_or(RETRY, Duration::from_millis);
+        return problem["error"]["retry_after_ms"]
+            .as_u64()
+            .map_or(DEFAULT_RETRY_DELAY, Duration::from_millis);
     }
     let mut text = Vec::new();
     let mut last = None;
@@ -213,34 +222,34 @@
         }
         text.extend_from_slice(&chunk);
     }
-    sample.fate = judge(&String::from_utf8_lossy(&text), request);
-    RETRY
+    sample.outcome = check_answer(&String::from_utf8_lossy(&text), request);
+    DEFAULT_RETRY_DELAY
 }
 
-/// Whether an answer is whole: as many pieces as its usage says, all of one
-/// run, none twice.
-fn judge(text: &str, request: &Request) -> Fate {
+/// Checks whether an answer is complete: a stream must have as many chunks as its usage states,
+/// all of the same run and none twice.
+fn check_answer(text: &str, request: &Request) -> Outcome {
     if !request.stream {
         let answer: Value = serde_json::from_str(text).unwrap_or_default();
-        let whole = answer["usage"]["completion_tokens"].is_u64();
-        return if whole { Fate::Done } else { Fate::Unknown };
+        let is_complete = answer["usage"]["completion_tokens"].is_u64();
+        return if is_complete { Outcome::Done } else { Outcome::Unknown };
     }
-    let pieces: Vec<Value> = text
+    let chunks: Vec<Value> = text
         .lines()
         .filter_map(|line| line.strip_prefix("data: "))
         .filter_map(|data| serde_json::from_str(data).ok())
         .collect();
-    let Some(usage) = pieces.iter().find_map(|piece| piece["usage"]["completion_tokens"].as_u64())
+    let Some(usage) = chunks.iter().find_map(|chunk| chunk["usage"]["completion_tokens"].as_u64())
     else {
-        return Fate::Unknown;
+        return Outcome::Unknown;
     };
-    if pieces.windows(2).any(|pair| pair[0]["id"] != pair[1]["id"]) {
-        return Fate::Wrong;
+    if chunks.windows(2).any(|pair| pair[0]["id"] != pair[1]["id"]) {
+        return Outcome::Wrong;
     }
-    match (pieces.len() as u64).cmp(&(usage + 1)) {
-        std::cmp::Ordering::Equal => Fate::Done,
-        std::cmp::Ordering::Greater => Fate::Doubled,
-        std::cmp::Ordering::Less => Fate::Wrong,
+    match (chunks.len() as u64).cmp(&(usage + 1)) {
+        std::cmp::Ordering::Equal => Outcome::Done,
+        std::cmp::Ordering::Greater => Outcome::Doubled,
+        std::cmp::Ordering::Less => Outcome::Wrong,
     }
 }
 
@@ -249,7 +258,7 @@
     let bar = ProgressBar::new(count);
     let style = ProgressStyle::with_template("{bar:30} {pos}/{len} {elapsed} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    bar.enable_steady_tick(TICK);
+    bar.enable_steady_tick(PROGRESS_INTERVAL);
     while let Some(sample) = rx.recv().await {
         report.add(&sample);
         bar.inc(1);
@@ -260,7 +269,8 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("the bounds are usable")
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
+        .expect("the bounds are valid")
 }
 
 impl Report {
@@ -280,15 +290,15 @@
 
     fn add(&mut self, sample: &Sample) {
         self.attempts += u64::from(sample.attempts);
-        let count = match sample.fate {
-            Fate::Done => &mut self.done,
-            Fate::NotRun => &mut self.not_run,
-            Fate::Unknown => &mut self.unknown,
-            Fate::Doubled => &mut self.doubled,
-            Fate::Wrong => &mut self.wrong,
+        let count = match sample.outcome {
+            Outcome::Done => &mut self.done,
+            Outcome::NotRun => &mut self.not_run,
+            Outcome::Unknown => &mut self.unknown,
+            Outcome::Doubled => &mut self.doubled,
+            Outcome::Wrong => &mut self.wrong,
         };
         *count += 1;
-        if sample.fate != Fate::Done {
+        if sample.outcome != Outcome::Done {
             return;
         }
         let micros = |time: Duration| (time.as_micros() as u64).max(1);
@@ -313,10 +323,10 @@
             "done_per_second": self.done as f64 / args.duration, "seed": args.seed,
         });
         if format == Format::Json {
-            let of = |n: usize| serde_json::to_value(&latencies[n].1).unwrap_or_default();
+            let json_of = |n: usize| serde_json::to_value(&latencies[n].1).unwrap_or_default();
             output::json(&json!({
-                "counts": counts, "first_token": of(0), "between_tokens": of(1), "whole": of(2),
-                "servers": servers,
+                "counts": counts, "first_token": json_of(0), "between_tokens": json_of(1),
+                "whole": json_of(2), "servers": servers,
             }));
             return;
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client of bankcove.
+//! Command-line client for operators of bankcove.
 
 mod args;
 mod blocked;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing: aligned columns for people, JSON and CSV for programs.
+//! Output as aligned columns for people, and as JSON or CSV for programs.
 
 use comfy_table::presets::NOTHING;
 use serde::Serialize;
@@ -6,18 +6,18 @@
 
 use crate::args::Format;
 
-/// Columns that stand first, where a sheet has them.
+/// Columns that are printed first, if present.
 const FIRST_COLUMNS: [&str; 4] = ["name", "workspace", "hall", "to"];
 
-/// Items of a list that people are shown.
-const LISTED: usize = 4;
+/// Number of items of a list that the text format shows.
+const MAX_LIST_ITEMS: usize = 4;
 
 /// Prints a value as JSON.
 pub fn json(value: &impl Serialize) {
     println!("{}", serde_json::to_string_pretty(value).unwrap_or_default());
 }
 
-/// Prints rows that are JSON objects; the columns are their fields.
+/// Prints rows, which are JSON objects, with their fields as columns.
 pub fn rows(rows: &[Value], format: Format) {
     let columns = columns(rows);
     match format {
@@ -56,18 +56,19 @@
         .chain(rows.iter().map(|row| columns.iter().map(|column| cell(row, column)).collect()));
     for line in lines {
         if writer.write_record(line).is_err() {
-            // Whoever read the output has gone.
+            // The reader has closed the output.
             return;
         }
     }
 }
 
-/// A cell for people: of a long list only the beginning.
+/// Returns the text of a cell for people, which shows only the first items of a long list.
 fn short_cell(row: &Value, column: &str) -> String {
     match row[column].as_array() {
-        Some(items) if items.len() > LISTED && items.iter().all(Value::is_string) => {
-            let first: Vec<&str> = items.iter().take(LISTED).filter_map(Value::as_str).collect();
-            format!("{} and {} more", first.join(" "), items.len() - LISTED)
+        Some(items) if items.len() > MAX_LIST_ITEMS && items.iter().all(Value::is_string) => {
+            let first: Vec<&str> =
+                items.iter().take(MAX_LIST_ITEMS).filter_map(Value::as_str).collect();
+            format!("{} and {} more", first.join(" "), items.len() - MAX_LIST_ITEMS)
         }
         _ => cell(row, column),
     }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own, for tests.
+//! Stand-ins as separate processes, for tests.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::args::StandinCommand;
 use crate::error::{Error, Result};
 
-/// Runs a stand-in until the process ends; its address is printed first.
+/// Prints the address of a stand-in and runs it until the process ends.
 ///
 /// # Errors
 /// When the port can't be listened on.
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,4 +1,4 @@
-//! Commands of the table and its rows.
+//! Commands for the table and its rows.
 
 use std::path::Path;
 
@@ -14,13 +14,13 @@
 use crate::error::{Error, Result};
 use crate::output;
 
-/// Sheets in the order that people read them.
+/// Sheets of the table in the order of printing.
 const SHEETS: [&str; 6] = ["halls", "workspaces", "budgets", "servers", "routes", "services"];
 
-/// Runs a command of the table.
+/// Runs a command for the table.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run(cfg: &Config, command: TableCommand) -> Result<()> {
     match command {
         TableCommand::Check { file } => {
@@ -30,13 +30,13 @@
             Ok(())
         }
         TableCommand::Plan { file } => {
-            let edit = edit_towards(&Client::new(cfg)?, &file, String::new()).await?;
+            let edit = edit_to_match(&Client::new(cfg)?, &file, String::new()).await?;
             print_plan(&edit, cfg.format);
             Ok(())
         }
         TableCommand::Apply { file, change } => {
             let client = Client::new(cfg)?;
-            let edit = edit_towards(&client, &file, change.unwrap_or_else(new_change_id)).await?;
+            let edit = edit_to_match(&client, &file, change.unwrap_or_else(new_change_id)).await?;
             if edit.rows.is_empty() {
                 println!("nothing to change");
                 return Ok(());
@@ -56,10 +56,10 @@
     }
 }
 
-/// Runs a command of a row.
+/// Runs a command for a row.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn run_row(cfg: &Config, command: RowCommand) -> Result<()> {
     let client = Client::new(cfg)?;
     match command {
@@ -72,7 +72,7 @@
             let table = client.table().await?;
             let row = find_row(&table, &sheet, &name).ok_or_else(|| no_row(&sheet, &name))?;
             let version = row["version"].as_u64().unwrap_or(0);
-            let edit = one_row(&sheet, &name, version, None, change);
+            let edit = row_edit(&sheet, &name, version, None, change);
             send(&client, &edit).await
         }
     }
@@ -81,7 +81,7 @@
 /// Sets fields of a row, or adds a row.
 ///
 /// # Errors
-/// What the operator has to be told.
+/// Errors to print for the operator.
 pub async fn set(
     client: &Client,
     sheet: &str,
@@ -97,13 +97,13 @@
     for (field, value) in fields {
         row[field] = value;
     }
-    send(client, &one_row(sheet, name, version, Some(row), change)).await
+    send(client, &row_edit(sheet, name, version, Some(row), change)).await
 }
 
 /// Reads and checks a table.
 ///
 /// # Errors
-/// [`Error::Faults`] with every fault found, or what is wrong with the file.
+/// [`Error::Faults`] with all faults found, or an error of the file.
 pub fn read_table(file: &Path) -> Result<Table> {
     let table: Table = read_json(file)?;
     match check(&table) {
@@ -115,19 +115,20 @@
     }
 }
 
-/// An identity for a change that nobody else uses.
+/// Returns a new unique identifier for a change.
 pub fn new_change_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-fn who() -> String {
+fn current_user() -> String {
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
-async fn edit_towards(client: &Client, file: &Path, id: String) -> Result<Edit> {
-    let wanted = read_table(file)?;
-    let present = client.table().await?;
-    Ok(difference(&present, &wanted, id, who()))
+/// Returns the edit that turns the table in force into that of the file.
+async fn edit_to_match(client: &Client, file: &Path, id: String) -> Result<Edit> {
+    let target = read_table(file)?;
+    let current = client.table().await?;
+    Ok(difference(&current, &target, id, current_user()))
 }
 
 async fn send(client: &Client, edit: &Edit) -> Result<()> {
@@ -136,7 +137,7 @@
     Ok(())
 }
 
-fn one_row(
+fn row_edit(
     sheet: &str,
     name: &str,
     from_version: u64,
@@ -144,7 +145,7 @@
     change: Option<String>,
 ) -> Edit {
     let row = RowEdit { sheet: sheet.to_owned(), name: Name::from(name), from_version, row };
-    Edit { id: change.unwrap_or_else(new_change_id), who: who(), rows: vec![row] }
+    Edit { id: change.unwrap_or_else(new_change_id), who: current_user(), rows: vec![row] }
 }
 
 fn read_field(text: &str) -> Result<(String, Value)> {
@@ -173,14 +174,14 @@
         .rows
         .iter()
         .map(|row| {
-            let what = match (&row.row, row.from_version) {
+            let action = match (&row.row, row.from_version) {
                 (None, _) => "remove",
                 (Some(_), 0) => "add",
                 (Some(_), _) => "change",
             };
             let mut line = Map::new();
             line.insert("name".to_owned(), row.name.to_string().into());
-            line.insert("change".to_owned(), what.into());
+            line.insert("change".to_owned(), action.into());
             line.insert("sheet".to_owned(), row.sheet.clone().into());
             line.insert("row".to_owned(), row.row.clone().unwrap_or_default());
             Value::Object(line)
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' client as a person at the shell meets it.
+//! The operators' client, run as a process.
 
 use std::io::Write;
 use std::process::{Command, Output};
@@ -7,7 +7,10 @@
 use yare::parameterized;
 
 fn bankcove(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_bankcove")).args(args).output().expect("it can be started")
+    Command::new(env!("CARGO_BIN_EXE_bankcove"))
+        .args(args)
+        .output()
+        .expect("the binary can be started")
 }
 
 fn check_table(table: &serde_json::Value) -> Output {
@@ -21,13 +24,13 @@
 }
 
 #[test]
-fn a_good_table_has_no_fault() {
+fn a_valid_table_has_no_faults() {
     let output = check_table(&json!({"halls": [{"name": "hall-1"}]}));
     assert!(output.status.success(), "{}", stderr(&output));
 }
 
 #[test]
-fn every_fault_of_a_table_is_told_with_row_field_and_fix() {
+fn all_faults_of_a_table_are_reported_with_row_field_and_fix() {
     let table = json!({
         "halls": [{"name": "hall-1", "weight": 0}],
         "workspaces": [{"name": "w", "keys_sha256": ["12"], "default_budget": "none"}],
@@ -36,14 +39,15 @@
     let output = check_table(&table);
     let stderr = stderr(&output);
     assert_eq!(output.status.code(), Some(1));
-    for said in ["keys_sha256", "default_budget", "hall-9", "IP number", "weight", "add that hall"]
+    for expected in
+        ["keys_sha256", "default_budget", "hall-9", "IP number", "weight", "add that hall"]
     {
-        assert!(stderr.contains(said), "'{said}' is missing in {stderr}");
+        assert!(stderr.contains(expected), "'{expected}' is missing in {stderr}");
     }
 }
 
 #[test]
-fn a_home_where_no_hall_lies_is_told() {
+fn a_home_region_without_a_hall_is_reported() {
     let table = json!({
         "halls": [{"name": "hall-1", "region": "north"}],
         "workspaces": [
@@ -57,13 +61,13 @@
 }
 
 #[test]
-fn a_misspelt_field_is_told_with_its_path() {
+fn a_misspelt_field_is_reported_with_its_path() {
     let output = check_table(&json!({"halls": [{"name": "hall-1", "wieght": 2}]}));
     assert!(stderr(&output).contains("halls[0]"), "{}", stderr(&output));
 }
 
 #[test]
-fn a_daemon_that_is_not_there_has_an_exit_code_of_its_own() {
+fn an_unreachable_daemon_has_its_own_exit_code() {
     let output = bankcove(&["--server", "127.0.0.1:9", "--token", "x", "status"]);
     assert_eq!(output.status.code(), Some(5), "{}", stderr(&output));
 }
@@ -75,14 +79,14 @@
 }
 
 #[parameterized(vaasa = { "vaasa" }, karamanlis = { "karamanlis" })]
-fn the_example_tables_have_no_fault(name: &str) {
+fn the_example_tables_have_no_faults(name: &str) {
     let file = format!("{}/../../examples/{name}.json", env!("CARGO_MANIFEST_DIR"));
     let output = bankcove(&["table", "check", &file]);
     assert!(output.status.success(), "{}", stderr(&output));
 }
 
 #[test]
-fn the_demo_answers_and_ends_by_itself() {
+fn demo_once_answers_requests_and_exits() {
     let output = bankcove(&["demo", "--once"]);
     let stdout = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{}", stderr(&output));
@@ -90,7 +94,7 @@
 }
 
 #[test]
-fn a_key_and_its_hash_belong_together() {
+fn a_new_key_is_printed_with_its_hash() {
     let printed = bankcove(&["key", "new"]);
     let text = String::from_utf8_lossy(&printed.stdout).into_owned();
     let value = |name: &str| {
@@ -100,14 +104,15 @@
     assert_eq!(bankcoved::identity::hash_key(&value("key")), value("sha256"));
 }
 
-/// Three requests of some tens of tokens are all that the demo spends of 40 million.
+/// The demo spends the tokens of only three requests, some tens each, of a budget of 40 million.
 #[test]
-fn the_demo_tells_what_is_spent_and_left_and_both_add_up() {
+fn the_figures_of_the_demo_add_up_to_the_budget() {
     for _ in 0..4 {
         let output = bankcove(&["demo", "--once"]);
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert!(output.status.success(), "{said}{}", stderr(&output));
-        let line = said.lines().find(|line| line.starts_with("budget 'dispatch'")).expect("a line");
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+        assert!(output.status.success(), "{stdout}{}", stderr(&output));
+        let line =
+            stdout.lines().find(|line| line.starts_with("budget 'dispatch'")).expect("a line");
         let rest = line.split_once(": ").expect("figures follow").1;
         let words = rest.split(|c: char| !c.is_ascii_digit());
         let figures: Vec<u64> = words.filter_map(|word| word.parse().ok()).collect();
@@ -115,10 +120,11 @@
         assert_eq!(total, 40_000_000, "{line}");
         assert!((1..1_000).contains(&spent), "{line}");
         assert!(left <= total - spent, "{line}");
-        let elsewhere = said.lines().find_map(|line| line.strip_suffix(ELSEWHERE)?.parse().ok());
-        assert_eq!(spent + left + elsewhere.unwrap_or(0), total, "{said}");
+        let unavailable =
+            stdout.lines().find_map(|line| line.strip_suffix(UNAVAILABLE)?.parse().ok());
+        assert_eq!(spent + left + unavailable.unwrap_or(0), total, "{stdout}");
     }
 }
 
-/// What the demo says of tokens that are neither spent nor left.
-const ELSEWHERE: &str = " are set aside, on their way, or with daemons that have ended";
+/// What the demo prints after the number of tokens that are neither spent nor left.
+const UNAVAILABLE: &str = " are reserved, in transit, or at daemons that have ended";
--- a/crates/daemon/src/base/metrics.rs
+++ b/crates/daemon/src/base/metrics.rs
@@ -53,7 +53,7 @@
         let times = Family::new_with_constructor(histogram as fn() -> Histogram);
         registry.register("events", "What has happened, by kind", counters.clone());
         registry.register("time_ms", "How long it took, in milliseconds", times.clone());
-        let statsd = address.map(statsd).transpose()?;
+        let statsd = address.map(statsd_client).transpose()?;
         Ok(Metrics(Arc::new(Inner { registry, counters, times, statsd })))
     }
 
@@ -95,7 +95,8 @@
     }
 }
 
-fn statsd(address: &str) -> Result<StatsdClient> {
+/// Creates a client that sends metrics to `address` without blocking.
+fn statsd_client(address: &str) -> Result<StatsdClient> {
     let socket = UdpSocket::bind("0.0.0.0:0").map_err(Error::Setup)?;
     socket.set_nonblocking(true).map_err(Error::Setup)?;
     let sink = UdpMetricSink::from(address, socket)
--- a/crates/daemon/src/base/tcp.rs
+++ b/crates/daemon/src/base/tcp.rs
@@ -60,6 +60,7 @@
     connect_result(&tokio::time::timeout(timeout, TcpStream::connect(address)).await)
 }
 
+/// Converts the result of a connection attempt.
 fn connect_result(connected: &Result<std::io::Result<TcpStream>, Elapsed>) -> ProbeResult {
     match connected {
         Ok(Ok(_)) => ProbeResult::Accepted,
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -64,7 +64,7 @@
 /// Runs the daemon or the command that the arguments select.
 ///
 /// # Errors
-/// Errors to print at the command line.
+/// Errors to print on the command line.
 pub fn run(args: Args) -> Result<()> {
     if args.print_defaults {
         let text = serde_json::to_string_pretty(&Config::example()).unwrap_or_default();
@@ -86,6 +86,7 @@
     runtime.map_err(Error::Setup)?.block_on(serve_until_signal(cfg, &path))
 }
 
+/// Runs a daemon until SIGTERM or SIGINT; SIGHUP reloads its settings.
 async fn serve_until_signal(cfg: Config, path: &Path) -> Result<()> {
     let mut reload = signal(SignalKind::hangup()).map_err(Error::Setup)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::Setup)?;
@@ -111,7 +112,7 @@
 pub struct Running {
     pub daemon: Arc<Daemon>,
     entry: Option<Arc<Entry>>,
-    sides: Vec<Side>,
+    listeners: Vec<Side>,
 }
 
 impl Running {
@@ -121,17 +122,17 @@
     /// [`Error::Listen`] when a port can't be listened on.
     pub async fn start(daemon: Arc<Daemon>) -> Result<Self> {
         peer_server::serve(Arc::clone(&daemon)).await?;
-        let mut sides = Vec::new();
+        let mut listeners = Vec::new();
         let mut started = None;
         if let Some(address) = &daemon.cfg.operator_listen {
-            sides.push(serve(address, operator::router(Arc::clone(&daemon))).await?);
+            listeners.push(serve(address, operator::router(Arc::clone(&daemon))).await?);
         }
         match daemon.cfg.entry.clone() {
             Some(settings) => {
                 let wire = Arc::new(Headers);
                 let (requests, view) = (Arc::clone(&daemon.requests), Arc::clone(&daemon.view));
                 let entry = Entry::new(requests, view, wire, settings);
-                sides.extend(start_entry(&daemon, Arc::clone(&entry)).await?);
+                listeners.extend(start_entry(&daemon, Arc::clone(&entry)).await?);
                 started = Some(entry);
             }
             None => {
@@ -139,7 +140,7 @@
                     (Arc::clone(&daemon.requests), Arc::clone(&daemon.billing));
                 let api = Api::new(requests, billing, daemon.http.clone());
                 let callers = caller_router(Arc::clone(&api));
-                sides.push(serve(&daemon.cfg.caller_listen, callers).await?);
+                listeners.push(serve(&daemon.cfg.caller_listen, callers).await?);
                 tokio::spawn(backend::follow_load(api));
                 tokio::spawn(bills::hand_over(Arc::clone(&daemon.billing)));
             }
@@ -168,7 +169,7 @@
         tokio::spawn(async move { membership::greet_seed_peers(&membership).await });
         slog::info!(daemon.log, "serving";
             "incarnation" => %daemon.incarnation, "callers" => &daemon.cfg.caller_listen);
-        Ok(Running { daemon, entry: started, sides })
+        Ok(Running { daemon, entry: started, listeners })
     }
 
     /// Reloads the settings. Settings for serving callers take effect at once; addresses and all
@@ -215,9 +216,9 @@
         // Open requests may run until the platform kills the process. At the deadline the
         // listeners are stopped.
         let _all_ended = daemon.clock.timeout_at(deadline, daemon.requests.work.wait()).await;
-        self.sides.iter().for_each(|side| side.handle.stop_graceful(CLOSE_TIMEOUT));
+        self.listeners.iter().for_each(|listener| listener.handle.stop_graceful(CLOSE_TIMEOUT));
         // The listeners' tasks end by themselves; a failed task counts as ended.
-        let ends = self.sides.into_iter().map(|side| side.task);
+        let ends = self.listeners.into_iter().map(|listener| listener.task);
         let _ended = tokio::time::timeout(CLOSE_TIMEOUT * 2, futures::future::join_all(ends)).await;
         daemon.shutdown.cancel();
     }
@@ -238,15 +239,15 @@
 
 /// Starts the listeners for a platform with a protocol of its own.
 async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<Side>> {
-    let mut sides = Vec::new();
+    let mut listeners = Vec::new();
     if let Some(address) = &entry.settings.metrics_listen {
-        sides.push(serve(address, operator::metrics_router(Arc::clone(daemon))).await?);
+        listeners.push(serve(address, operator::metrics_router(Arc::clone(daemon))).await?);
     }
     let ready = entry::ready::ready_router(Arc::clone(&entry));
-    sides.push(serve(&entry.settings.ready_listen, ready).await?);
+    listeners.push(serve(&entry.settings.ready_listen, ready).await?);
     let callers = entry::serve::router(Arc::clone(&entry));
-    sides.push(serve(&daemon.cfg.caller_listen, callers).await?);
-    Ok(sides)
+    listeners.push(serve(&daemon.cfg.caller_listen, callers).await?);
+    Ok(listeners)
 }
 
 fn own_host(daemon: &Daemon) -> Host {
@@ -291,6 +292,7 @@
     }
 }
 
+/// Announces this host to the platform; returns whether it succeeded.
 async fn announce_host(daemon: &Daemon, host: &Host) -> bool {
     let announced = daemon.store.announce(host).await;
     if let Err(e) = &announced {
