--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -204,7 +204,7 @@
         offset = collect_load_reports(&api, offset).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = api.requests.base.ended.cancelled() => return,
+            () = api.requests.base.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -196,7 +196,7 @@
     let open = placed.open;
     let status = placed.res.status();
     let headers = placed.res.headers().clone();
-    let body = api.requests.base.clock.before(until, read_response_body(placed.res)).await;
+    let body = api.requests.base.clock.timeout_at(until, read_response_body(placed.res)).await;
     let Some(Some(body)) = body else {
         api.requests.crashes.record_disconnect(&placed.choice, placed.fingerprint);
         return Err(finish_unknown(api, placed.attempt, open, &placed.choice.server));
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -74,7 +74,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(RETRY_INTERVAL) => {}
-            () = billing.fleet.base.ended.cancelled() => return,
+            () = billing.fleet.base.shutdown.cancelled() => return,
         }
         submit_pending_batch(&billing).await;
     }
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -29,7 +29,7 @@
         tokio::select! {
             () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = next_phase_of_stop(&budgets) => {}
-            () = budgets.fleet.base.ended.cancelled() => return,
+            () = budgets.fleet.base.shutdown.cancelled() => return,
         }
         log_holdings(&budgets);
         let Some(table) = budgets.table.load_full() else { continue };
--- a/crates/daemon/src/crashes/exchange.rs
+++ b/crates/daemon/src/crashes/exchange.rs
@@ -36,7 +36,7 @@
         loop {
             tokio::select! {
                 () = self.to_send.notified() => {}
-                () = self.fleet.base.ended.cancelled() => return,
+                () = self.fleet.base.shutdown.cancelled() => return,
             }
             tokio::time::sleep(BATCH_DELAY).await;
             let gathered = std::mem::take(&mut *self.updates.lock());
--- a/crates/daemon/src/crashes/persistence.rs
+++ b/crates/daemon/src/crashes/persistence.rs
@@ -50,7 +50,7 @@
 pub async fn persist_blocks(crashes: Arc<Crashes>) {
     tokio::select! {
         () = read_then_write(&crashes) => {}
-        () = crashes.fleet.base.ended.cancelled() => {}
+        () = crashes.fleet.base.shutdown.cancelled() => {}
     }
 }
 
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -7,7 +7,7 @@
 use bankcove_core::Millis;
 use bankcove_core::crashes::ServerStart;
 
-use crate::base::tcp::{Reach, reach_and_hold};
+use crate::base::tcp::{ProbeResult, probe_and_hold};
 use crate::crashes::{Crashes, Origin};
 
 /// Timeout of a connection attempt; a reachable host accepts or refuses within 2 ms.
@@ -43,16 +43,17 @@
 async fn has_crashed(crashes: &Crashes, server: &ServerStart, address: &str) -> bool {
     let deadline = crashes.fleet.base.clock.now() + MAX_CHECK_MS;
     loop {
-        match reach_and_hold(address, REACH_TIMEOUT, MIN_OPEN_TIME).await {
-            Reach::Refused => return true,
-            Reach::Accepted => return false,
-            Reach::Silent => {}
+        match probe_and_hold(address, REACH_TIMEOUT, MIN_OPEN_TIME).await {
+            ProbeResult::Refused => return true,
+            ProbeResult::Accepted => return false,
+            ProbeResult::NoAnswer => {}
         }
         // The server is gone from the list, or another start of it is listed.
         if !crashes.router.lock().is_current_start(&server.name, server.started_ms) {
             return true;
         }
-        if crashes.fleet.base.clock.now() >= deadline || crashes.fleet.base.ended.is_cancelled() {
+        if crashes.fleet.base.clock.now() >= deadline || crashes.fleet.base.shutdown.is_cancelled()
+        {
             return false;
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -66,7 +66,7 @@
     call.link.record_head();
     let clock = &entry.requests.base.clock;
     let sent_at = clock.now();
-    let answer = clock.before(call.deadline, entry.backends.send(permit, outgoing)).await;
+    let answer = clock.timeout_at(call.deadline, entry.backends.send(permit, outgoing)).await;
     let res = match answer {
         None => {
             call.may_have_run = true;
@@ -141,7 +141,7 @@
     let status = res.status();
     let headers = call.entry.wire.answer_headers(res.headers());
     let body = Limited::new(res.into_body(), MAX_ANSWER_BYTES).collect();
-    match call.entry.requests.base.clock.before(call.deadline, body).await {
+    match call.entry.requests.base.clock.timeout_at(call.deadline, body).await {
         Some(Ok(body)) => {
             if status.is_server_error() {
                 open_request.record_failure();
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -79,7 +79,7 @@
 
     /// Returns whether its deadline has passed.
     pub fn is_late(&self) -> bool {
-        self.entry.requests.base.clock.left(self.deadline).is_zero()
+        self.entry.requests.base.clock.time_until(self.deadline).is_zero()
     }
 
     /// Returns the hash of the request's content. It is computed on first use, which is only for
@@ -240,7 +240,7 @@
     /// Returns the request to send to this server. `resume_after` is the last event that the
     /// caller has received.
     pub fn outgoing(&self, choice: &Choice, resume_after: Option<u64>) -> Outgoing {
-        let time_left = self.entry.requests.base.clock.left(self.deadline);
+        let time_left = self.entry.requests.base.clock.time_until(self.deadline);
         let dispatch = Dispatch {
             server: &choice.server,
             workspace: self.plan.workspace.as_ref(),
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -111,7 +111,7 @@
     async fn read(&mut self) -> ReadResult {
         loop {
             let clock = &self.call.entry.requests.base.clock;
-            let frame = match clock.before(self.call.deadline, self.body.frame()).await {
+            let frame = match clock.timeout_at(self.call.deadline, self.body.frame()).await {
                 None => return ReadResult::TimedOut,
                 Some(None) if self.splitter.is_empty() => return ReadResult::End,
                 Some(None) => return ReadResult::Broken("the stream ended within an event"),
--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -42,7 +42,7 @@
     requests.stopping.cancel();
     requests.in_flight.close();
     // Requests that are still open then are logged, and end when the platform kills the process.
-    let ended = clock.before(deadline, requests.in_flight.wait()).await.is_some();
+    let ended = clock.timeout_at(deadline, requests.in_flight.wait()).await.is_some();
     slog::info!(requests.base.log, "drained";
         "all_ended" => ended, "open" => requests.in_flight.len(),
         "after_ms" => clock.now() - started);
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -148,7 +148,7 @@
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => WatchStep::Wait,
-            () = self.base.ended.cancelled() => WatchStep::Stop,
+            () = self.base.shutdown.cancelled() => WatchStep::Stop,
         }
     }
 
@@ -180,10 +180,10 @@
         let pause = self.store_read_policy().probe_interval(failures, rand::random());
         let until = self.base.clock.now() + pause;
         loop {
-            let left = self.base.clock.left(until);
+            let left = self.base.clock.time_until(until);
             tokio::select! {
                 () = tokio::time::sleep(left.min(PEER_SYNC_POLL)) => {}
-                () = self.base.ended.cancelled() => return,
+                () = self.base.shutdown.cancelled() => return,
             }
             if self.base.clock.now() >= until || self.is_synced_by_peers() {
                 return;
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -13,20 +13,20 @@
 
 /// Checks for suspensions until the daemon ends, and wakes waiting tasks after each.
 pub async fn watch(fleet: Fleet) {
-    let mut known_suspended = fleet.base.clock.suspended();
+    let mut known_suspended = fleet.base.clock.suspended_time();
     loop {
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
-            () = fleet.base.ended.cancelled() => return,
+            () = fleet.base.shutdown.cancelled() => return,
         }
-        let suspended = fleet.base.clock.suspended();
+        let suspended = fleet.base.clock.suspended_time();
         let newly_suspended = suspended.saturating_sub(known_suspended);
         if newly_suspended >= MIN_SUSPENSION {
             known_suspended = suspended;
             fleet.base.metrics.count("host.suspended");
             slog::warn!(fleet.base.log, "host was suspended"; "for_ms" => newly_suspended.as_millis() as u64,
                 "view_age_ms" => fleet.connectivity.view_age(fleet.base.clock.now()));
-            fleet.base.clock.wake();
+            fleet.base.clock.notify_resumed();
         }
     }
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -202,7 +202,7 @@
         send_round(&membership).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
     }
 }
@@ -213,7 +213,7 @@
     loop {
         tokio::select! {
             () = membership.fleet.heartbeat_now.notified() => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
         let membership = Arc::clone(&membership);
         tokio::spawn(async move { send_round(&membership).await });
@@ -260,7 +260,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(SEED_RETRY_PAUSE) => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
     }
 }
--- a/crates/daemon/src/membership/unread_reports.rs
+++ b/crates/daemon/src/membership/unread_reports.rs
@@ -27,7 +27,7 @@
     loop {
         tokio::select! {
             () = membership.unread_changed.notified() => {}
-            () = membership.fleet.base.ended.cancelled() => return,
+            () = membership.fleet.base.shutdown.cancelled() => return,
         }
         if membership.fleet.is_small() {
             send_to_all(&membership);
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -37,7 +37,7 @@
 /// Puts a table in force if its revision is newer than the current one.
 pub fn adopt(view: &Arc<View>, mut table: Table) {
     if let Some(entry) = &view.fleet.base.cfg.entry {
-        entry.put_draw_policy(&mut table);
+        entry.apply_draw_policy(&mut table);
     }
     {
         // The router's lock serializes adoptions, so that none reverts a newer one.
@@ -70,7 +70,7 @@
         let asked_at = view.fleet.base.clock.now();
         let watched = tokio::select! {
             watched = view.store.watch::<Table>(Kind::Table, TABLE_NAME, at, WATCH_TIMEOUT) => watched,
-            () = view.fleet.base.ended.cancelled() => return,
+            () = view.fleet.base.shutdown.cancelled() => return,
         };
         match watched {
             Ok(watched) => {
--- a/crates/daemon/tests/fleet_size.rs
+++ b/crates/daemon/tests/fleet_size.rs
@@ -24,7 +24,7 @@
     cfg.name = Name::from("entry-0");
     cfg.limits.witnesses = 0;
     cfg.limits.direct_daemons = DIRECT_DAEMONS;
-    Daemon::new(cfg, logging::silent()).expect("the daemon can be set up")
+    Daemon::new(cfg, logging::discard()).expect("the daemon can be set up")
 }
 
 /// Delivers a heartbeat of peer `n`.
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn an_unsolicited_heartbeat_does_not_make_the_view_current() {
     let daemon: Arc<Daemon> =
-        Daemon::new(Config::example(), logging::silent()).expect("the daemon can be set up");
+        Daemon::new(Config::example(), logging::discard()).expect("the daemon can be set up");
     // The transmission time of an unsolicited heartbeat is unknown, so its ages are not used.
     membership::handle_heartbeat(&daemon.membership, &heartbeat());
     let now = daemon.clock.now();
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -17,7 +17,7 @@
     &["requests"],
     &["api", "entry"],
     &["daemon"],
-    &["operator", "peer_server", "controller"],
+    &["operator", "peer_server", "lifecycle"],
 ];
 
 /// Returns the source files of a layer.
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -39,7 +39,7 @@
     cfg.peer_advertise = None;
     cfg.limits.witnesses = 0;
     cfg.limits.direct_daemons = 0;
-    Daemon::new(cfg, logging::silent()).expect("the daemon can be set up")
+    Daemon::new(cfg, logging::discard()).expect("the daemon can be set up")
 }
 
 /// Lists `other` in the host list of `daemon`.
