--- a/crates/bench/benches/crashes.rs
+++ b/crates/bench/benches/crashes.rs
@@ -5,7 +5,7 @@
 
 use std::hint::black_box;
 
-use bankcove_core::crashes::{CrashTracker, DECISION_DELAY_MS, ServerStart};
+use bankcove_core::crashes::{CrashTracker, DECISION_DELAY_MS, ServerInstance};
 use bankcove_core::{Fingerprint, Millis, Name};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
@@ -20,7 +20,7 @@
 fn book(crashes: usize) -> CrashTracker {
     let mut book = CrashTracker::default();
     for crash in 0..crashes {
-        let server = ServerStart { name: Name::from(format!("i-{crash:010}")), started_ms: 0 };
+        let server = ServerInstance { name: Name::from(format!("i-{crash:010}")), started_ms: 0 };
         let now = 500 * crash as Millis;
         for place in 0..ABOARD {
             let request = Fingerprint(1_000 + (crash * ABOARD + place) as u128);
@@ -73,7 +73,7 @@
     let mut now = 500 * CRASHES as Millis;
     for crash in 0..3 {
         now += 1_000;
-        let server = ServerStart { name: Name::from(format!("j-{crash}")), started_ms: 0 };
+        let server = ServerInstance { name: Name::from(format!("j-{crash}")), started_ms: 0 };
         for place in 0..CANDIDATES {
             book.record_disconnect(now, &server, Fingerprint(10 + place as u128));
         }
--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -9,7 +9,7 @@
 
 use bankcove_bench::routing_world::table;
 use bankcove_core::bill::Bill;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::{HintFact, LeavingServers};
 use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope};
 use bankcove_core::limits::{
@@ -177,7 +177,7 @@
     let mut book = LimitTracker::default();
     let rate = RequestRate::new(1.2).expect("it is a rate");
     for n in 0..servers {
-        let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
+        let server = ServerInstance { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
         book.record_response(10, &server, 0, &LimitHeader::Limit(rate));
     }
     book
@@ -187,7 +187,7 @@
 fn leaving(servers: usize) -> LeavingServers {
     let mut leaving = LeavingServers::default();
     for n in 0..servers {
-        let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
+        let server = ServerInstance { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
         leaving.add(10, &server, 0);
     }
     leaving
@@ -329,7 +329,7 @@
     slope("limits: an answer's head, by servers limited", "ns", [16, 160, 1_600, 10_000], |n| {
         const ROUNDS: u64 = 10_000;
         let mut book = limit_book(n);
-        let server = ServerStart { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
+        let server = ServerInstance { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
         let word = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
         let started = Instant::now();
         for now in 0..ROUNDS {
@@ -341,7 +341,7 @@
         const ROUNDS: u64 = 200;
         let members = members(n);
         let mut issuer = Issuer::default();
-        let server = ServerStart { name: Name::from("i-0000000001"), started_ms: 1 };
+        let server = ServerInstance { name: Name::from("i-0000000001"), started_ms: 1 };
         let limit = RequestRate::new(1.2).expect("it is a rate");
         let started = Instant::now();
         for now in 0..ROUNDS {
--- a/crates/bench/src/budget_world.rs
+++ b/crates/bench/src/budget_world.rs
@@ -12,7 +12,7 @@
 use bankcove_core::holder::{Holder, Reservation};
 use bankcove_core::owner::{Event, Owner, Reply, Request};
 use bankcove_core::shard::{BUDGET_SHARDS, Shard, shard_of_budget};
-use bankcove_core::witness::{Witness, WitnessMarks};
+use bankcove_core::witness::{Witness, WitnessRecords};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
 use crate::budget_load::{Arrival, Load};
@@ -84,7 +84,7 @@
     stored: HashMap<u32, (u64, Shard)>,
     owners: HashMap<(usize, u32), Owner>,
     holders: Vec<Holder>,
-    marks: Vec<WitnessMarks>,
+    marks: Vec<WitnessRecords>,
     tickets: HashMap<u64, Asked>,
     ahead_at: HashMap<(usize, usize), Millis>,
     next_ticket: u64,
@@ -110,7 +110,7 @@
             stored: HashMap::new(),
             owners: HashMap::new(),
             holders: (0..load.daemons).map(|n| Holder::new(Incarnation(n as u64))).collect(),
-            marks: vec![WitnessMarks::default(); load.daemons],
+            marks: vec![WitnessRecords::default(); load.daemons],
             tickets: HashMap::new(),
             ahead_at: HashMap::new(),
             next_ticket: 0,
--- a/crates/bench/src/budget_world/owner.rs
+++ b/crates/bench/src/budget_world/owner.rs
@@ -54,7 +54,7 @@
                 let event = self.store_write(daemon, shard, version, value);
                 self.schedule.at(self.now + STORE_MS, later(event));
             }
-            Command::Gather(budget, listed) => {
+            Command::Collect(budget, listed) => {
                 let (event, took) = self.gather(daemon, shard, budget, &listed);
                 self.schedule.at(self.now + took, later(event));
             }
@@ -158,7 +158,7 @@
             self.holders[daemon].record_received(&budget, sender, sent);
         }
         let free = self.holders[daemon].free(&budget);
-        (Event::Gathered { budget, free, more_expected: true }, took)
+        (Event::Collected { budget, free, more_expected: true }, took)
     }
 
     pub(super) fn give(
--- a/crates/bench/src/hint_world.rs
+++ b/crates/bench/src/hint_world.rs
@@ -7,7 +7,7 @@
 
 pub use setup::{Act, Outcome, RestWay, Setup};
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::LeavingFact;
 use bankcove_core::limits::RetrySchedule;
 use bankcove_core::router::{Choice, Homes, NoServer, Router, RoutingRequest};
@@ -61,7 +61,7 @@
     End { server: usize, start: Millis },
     Head { req: Req, choice: Choice, head: Head },
     Leaving { to: usize, facts: Vec<LeavingFact> },
-    Rest { to: usize, server: ServerStart, left_ms: Millis },
+    Rest { to: usize, server: ServerInstance, left_ms: Millis },
     Beat { daemon: usize },
     Start { daemon: usize },
 }
@@ -219,7 +219,7 @@
             Event::Leaving { to, facts } => self.told_leaving(to, &facts),
             Event::Rest { to, server, left_ms } => {
                 let now = self.now;
-                self.daemons[to].router.observe_rest(now, &server, left_ms);
+                self.daemons[to].router.record_rest(now, &server, left_ms);
             }
             Event::Beat { daemon } => self.beat(daemon),
             Event::Start { daemon } => {
--- a/crates/bench/src/hint_world/check.rs
+++ b/crates/bench/src/hint_world/check.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bankcove_core::Millis;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 
 use super::{Outcome, Setup};
 use crate::limit_world::Kind;
@@ -19,8 +19,8 @@
 pub(super) struct Check {
     arrivals: HashMap<Way, Vec<Millis>>,
     rests: Vec<(Way, Millis, Millis)>,
-    read: HashMap<(usize, ServerStart), Millis>,
-    first: HashMap<ServerStart, Millis>,
+    read: HashMap<(usize, ServerInstance), Millis>,
+    first: HashMap<ServerInstance, Millis>,
 }
 
 impl Check {
@@ -39,13 +39,13 @@
         self.rests.push(((daemon, server, start), now, rest_ms));
     }
 
-    pub(super) fn read_leaving(&mut self, daemon: usize, start: &ServerStart, now: Millis) {
+    pub(super) fn read_leaving(&mut self, daemon: usize, start: &ServerInstance, now: Millis) {
         self.read.entry((daemon, start.clone())).or_insert(now);
         self.first.entry(start.clone()).or_insert(now);
     }
 
     /// When any daemon read first that this start leaves.
-    pub(super) fn first_word(&self, start: &ServerStart) -> Option<Millis> {
+    pub(super) fn first_word(&self, start: &ServerInstance) -> Option<Millis> {
         self.first.get(start).copied()
     }
 
--- a/crates/bench/src/hint_world/words.rs
+++ b/crates/bench/src/hint_world/words.rs
@@ -17,10 +17,10 @@
 
 impl World {
     pub(super) fn observe(&mut self, daemon: usize, choice: &Choice, head: Head) {
-        let (now, start) = (self.now, choice.start());
+        let (now, start) = (self.now, choice.instance());
         if head.leaves {
             self.check.read_leaving(daemon, &start, now);
-            if let Some(fact) = self.daemons[daemon].router.observe_leaving(now, &start) {
+            if let Some(fact) = self.daemons[daemon].router.record_leaving(now, &start) {
                 self.tell_leaving(daemon, vec![fact]);
                 self.note_known(&start);
             }
@@ -29,7 +29,7 @@
         if self.setup.way == RestWay::Ignored {
             return;
         }
-        let is_new = self.daemons[daemon].router.observe_rest(now, &start, rest_ms);
+        let is_new = self.daemons[daemon].router.record_rest(now, &start, rest_ms);
         if !is_new || self.setup.way != RestWay::Told {
             return;
         }
@@ -70,7 +70,7 @@
     }
 
     /// Notes how long it took until all daemons that are up knew of the first word.
-    fn note_known(&mut self, server: &bankcove_core::crashes::ServerStart) {
+    fn note_known(&mut self, server: &bankcove_core::crashes::ServerInstance) {
         let Some(at) = self.check.first_word(server) else { return };
         let knows = |daemon: &super::Daemon| daemon.router.check_open(self.now, server).is_err();
         if self.daemons.iter().all(knows) {
@@ -81,7 +81,7 @@
 
     pub(super) fn beat(&mut self, daemon: usize) {
         self.events.at(self.now + HEARTBEAT_MS, Event::Beat { daemon });
-        self.daemons[daemon].router.expire_closed(self.now);
+        self.daemons[daemon].router.remove_expired_hints(self.now);
         for peer in self.peers(daemon, HEARTBEAT_FANOUT) {
             let is_frozen = self.setup.troubles.thaws_at(peer, self.now).is_some();
             let digest = |n: usize| self.daemons[n].router.leaving_digest();
--- a/crates/bench/src/limit_world.rs
+++ b/crates/bench/src/limit_world.rs
@@ -15,7 +15,7 @@
 
 use std::collections::HashMap;
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::limits::{LimitHeader, RequestRate};
 use bankcove_core::{Millis, Name};
 use hdrhistogram::Histogram;
@@ -43,8 +43,8 @@
     numbers: u64,
     daemons: Vec<Daemon>,
     fleet: Fleet,
-    starts: Vec<ServerStart>,
-    index: HashMap<ServerStart, usize>,
+    starts: Vec<ServerInstance>,
+    index: HashMap<ServerInstance, usize>,
     waiting: HashMap<u64, Req>,
     /// When a host had passed on an answer that named the server's limit first.
     told_at: HashMap<(usize, usize), Millis>,
@@ -68,8 +68,8 @@
     }
 
     fn new(setup: Setup) -> Self {
-        let start = |n: usize| ServerStart { name: Name::from(format!("i-{n}")), started_ms: 1 };
-        let starts: Vec<ServerStart> = (0..setup.servers.len()).map(start).collect();
+        let start = |n: usize| ServerInstance { name: Name::from(format!("i-{n}")), started_ms: 1 };
+        let starts: Vec<ServerInstance> = (0..setup.servers.len()).map(start).collect();
         let count = starts.len();
         World {
             rng: StdRng::seed_from_u64(setup.seed),
--- a/crates/bench/src/limit_world/fleet.rs
+++ b/crates/bench/src/limit_world/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bankcove_core::Millis;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::id::rendezvous_score;
 use bankcove_core::limits::{
     ISSUERS_PER_SERVER, Issuer, IssuerPosition, Leases, LimitTracker, RetrySchedule,
@@ -82,7 +82,7 @@
     }
 
     /// Who issues permits for the server, as this daemon sees it.
-    pub fn issuers(&self, at: usize, server: &ServerStart, now: Millis) -> Vec<usize> {
+    pub fn issuers(&self, at: usize, server: &ServerInstance, now: Millis) -> Vec<usize> {
         let listed = (0..self.keys.len()).filter(|daemon| self.is_listed(at, *daemon, now));
         let mut ranked: Vec<(u64, usize)> = listed
             .map(|daemon| (rendezvous_score(server.key(), self.keys[daemon]), daemon))
@@ -95,7 +95,7 @@
     pub fn place(
         &self,
         at: usize,
-        server: &ServerStart,
+        server: &ServerInstance,
         now: Millis,
         started: Millis,
     ) -> IssuerPosition {
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -18,5 +18,5 @@
 mod tracker;
 
 pub use decision::{CRASHES_TO_BLOCK, DECISION_DELAY_MS, Placement};
-pub use facts::{Block, Cleared, Crash, CrashFacts, ServerStart};
+pub use facts::{Block, Cleared, Crash, CrashFacts, ServerInstance};
 pub use tracker::{BLOCK_DURATION_MS, CrashStats, CrashTracker, Verdict};
--- a/crates/core/src/crashes/decision.rs
+++ b/crates/core/src/crashes/decision.rs
@@ -49,11 +49,11 @@
 
 /// Requests waiting for a decision, with the time of the decision.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Pending {
+pub(super) struct PendingDecisions {
     due: BTreeMap<Fingerprint, Millis>,
 }
 
-impl Pending {
+impl PendingDecisions {
     pub(super) fn contains(&self, request: Fingerprint) -> bool {
         self.due.contains_key(&request)
     }
--- a/crates/core/src/crashes/facts.rs
+++ b/crates/core/src/crashes/facts.rs
@@ -10,14 +10,14 @@
 
 /// One start of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ServerStart {
+pub struct ServerInstance {
     /// Name of the server.
     pub name: Name,
     /// Time of this start, in milliseconds since 1970; 0 if unknown.
     pub started_ms: Millis,
 }
 
-impl ServerStart {
+impl ServerInstance {
     /// Returns the rendezvous hashing key that selects the daemons responsible for this start.
     pub fn key(&self) -> u64 {
         xxh3_64(self.name.as_str().as_bytes()) ^ self.started_ms
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// Server start that crashed.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Time since its connections broke, in milliseconds.
     pub age_ms: Millis,
     /// Requests that it was running, as far as the sender knows.
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::facts::{Crash, ServerStart};
+use super::facts::{Crash, ServerInstance};
 use crate::{Fingerprint, Millis};
 
 /// Retention of crashes, in milliseconds: long enough to block a caller that retries every minute
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Evidence<'a> {
     /// Crashed servers, in the order of their crashes.
-    pub(super) servers: Vec<&'a ServerStart>,
+    pub(super) servers: Vec<&'a ServerInstance>,
     /// Number of incidents, that is groups of nearly simultaneous crashes.
     pub(super) incidents: usize,
 }
@@ -44,8 +44,8 @@
 /// Recent crashes, bounded in age and number.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CrashHistory {
-    crashes: BTreeMap<ServerStart, CrashRecord>,
-    by_request: HashMap<Fingerprint, BTreeSet<ServerStart>>,
+    crashes: BTreeMap<ServerInstance, CrashRecord>,
+    by_request: HashMap<Fingerprint, BTreeSet<ServerInstance>>,
     dropped: u64,
 }
 
@@ -60,7 +60,7 @@
     }
 
     /// Whether this server start is known to have crashed.
-    pub(super) fn contains(&self, server: &ServerStart) -> bool {
+    pub(super) fn contains(&self, server: &ServerInstance) -> bool {
         self.crashes.contains_key(server)
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns the requests that this server start was running when it crashed.
-    pub(super) fn requests_of(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
+    pub(super) fn requests_of(&self, server: &ServerInstance) -> impl Iterator<Item = Fingerprint> {
         self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
     }
 
@@ -85,7 +85,7 @@
     pub(super) fn add(
         &mut self,
         at: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         running: impl IntoIterator<Item = Fingerprint>,
     ) -> Vec<Fingerprint> {
         let crash = self
@@ -108,11 +108,11 @@
     }
 
     /// Drops crashes that are older than the retention.
-    pub(super) fn forget_old(&mut self, now: Millis) {
+    pub(super) fn remove_expired(&mut self, now: Millis) {
         let is_expired = |crash: &CrashRecord| now.saturating_sub(crash.at) >= RETENTION_MS;
         let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
-        let expired: Vec<ServerStart> = expired.map(|(server, _)| server.clone()).collect();
-        expired.iter().for_each(|server| self.forget(server));
+        let expired: Vec<ServerInstance> = expired.map(|(server, _)| server.clone()).collect();
+        expired.iter().for_each(|server| self.remove(server));
     }
 
     /// Whether a crash of this age is sent to peers.
@@ -142,7 +142,7 @@
     ) -> Evidence<'_> {
         let servers = self.by_request.get(&request).into_iter().flatten();
         let crashes = servers.filter_map(|server| self.crashes.get_key_value(server));
-        let mut crashes: Vec<(&ServerStart, &CrashRecord)> = crashes
+        let mut crashes: Vec<(&ServerInstance, &CrashRecord)> = crashes
             .filter(|(_, crash)| since.is_none_or(|since| crash.at > since))
             .filter(|(_, crash)| {
                 !crash.running.iter().any(|other| *other != request && explains(other))
@@ -189,12 +189,12 @@
         while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
             let Some(oldest) = oldest.map(|(server, _)| server.clone()) else { return };
-            self.forget(&oldest);
+            self.remove(&oldest);
             self.dropped += 1;
         }
     }
 
-    fn forget(&mut self, server: &ServerStart) {
+    fn remove(&mut self, server: &ServerInstance) {
         let Some(crash) = self.crashes.remove(server) else { return };
         for request in &crash.running {
             let Some(servers) = self.by_request.get_mut(request) else { continue };
--- a/crates/core/src/crashes/tracker.rs
+++ b/crates/core/src/crashes/tracker.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::decision::{CRASHES_TO_BLOCK, Pending, is_sufficient};
-use super::facts::{Block, Cleared, Crash, CrashFacts, ServerStart};
+use super::decision::{CRASHES_TO_BLOCK, PendingDecisions, is_sufficient};
+use super::facts::{Block, Cleared, Crash, CrashFacts, ServerInstance};
 use super::history::CrashHistory;
 use crate::{Fingerprint, Millis, Name};
 
@@ -73,11 +73,11 @@
 pub struct CrashTracker {
     pub(super) history: CrashHistory,
     /// Disconnected servers that may have crashed, and the requests that they were running.
-    unverified: BTreeMap<ServerStart, BTreeSet<Fingerprint>>,
+    unverified: BTreeMap<ServerInstance, BTreeSet<Fingerprint>>,
     cleared: HashMap<Fingerprint, Clearance>,
     blocked: BTreeMap<Fingerprint, Blocked>,
     /// Requests waiting for a decision.
-    pub(super) pending: Pending,
+    pub(super) pending: PendingDecisions,
     dropped: u64,
 }
 
@@ -125,7 +125,7 @@
     pub fn record_disconnect(
         &mut self,
         now: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         request: Fingerprint,
     ) -> (bool, CrashFacts) {
         if self.history.contains(server) {
@@ -137,14 +137,14 @@
     }
 
     /// Records that a disconnected server has crashed; returns updates for peers.
-    pub fn record_crash(&mut self, now: Millis, server: &ServerStart) -> CrashFacts {
+    pub fn record_crash(&mut self, now: Millis, server: &ServerInstance) -> CrashFacts {
         let running = self.unverified.remove(server).unwrap_or_default();
         self.add_crash(now, now, server, running)
     }
 
     /// Records that a disconnected server is still running: the connection was reset or the
     /// network partitioned.
-    pub fn record_alive(&mut self, server: &ServerStart) {
+    pub fn record_alive(&mut self, server: &ServerInstance) {
         self.unverified.remove(server);
     }
 
@@ -252,8 +252,8 @@
     }
 
     /// Drops expired crashes, blocks and clearances.
-    pub fn forget_old(&mut self, now: Millis) {
-        self.history.forget_old(now);
+    pub fn remove_expired(&mut self, now: Millis) {
+        self.history.remove_expired(now);
         self.blocked.retain(|_, blocked| now.saturating_sub(blocked.at) < BLOCK_DURATION_MS);
         let history = &self.history;
         self.cleared.retain(|request, clearance| {
@@ -268,7 +268,7 @@
         &mut self,
         now: Millis,
         at: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         running: impl IntoIterator<Item = Fingerprint>,
     ) -> CrashFacts {
         let new = self.history.add(at, server, running);
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -12,8 +12,8 @@
 /// Returns the time as of which a response of the store counts as current: its arrival, or the
 /// time of the request if it took longer than `longest_ms`. A host that was suspended meanwhile
 /// finds queued responses that are as old as the suspension and must not count as new.
-pub fn answer_time(asked_at: Millis, came_at: Millis, longest_ms: Millis) -> Millis {
-    if came_at.saturating_sub(asked_at) > longest_ms { asked_at } else { came_at }
+pub fn answer_time(asked_at: Millis, received_at: Millis, longest_ms: Millis) -> Millis {
+    if received_at.saturating_sub(asked_at) > longest_ms { asked_at } else { received_at }
 }
 
 /// Times up to which the table and the lists are known to be complete.
--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -8,14 +8,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Millis;
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::hints::UNLISTED_RETENTION_MS;
 
 /// A server start that has announced that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingFact {
     /// The server.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Time since its first announcement, in milliseconds.
     pub age_ms: Millis,
 }
@@ -24,23 +24,23 @@
 #[derive(Debug, Clone, Default)]
 pub struct LeavingServers {
     /// Time of the first announcement of each start.
-    known: HashMap<ServerStart, Millis>,
+    known: HashMap<ServerInstance, Millis>,
     digest: u64,
 }
 
 impl LeavingServers {
     /// Whether this start is leaving.
-    pub fn contains(&self, server: &ServerStart) -> bool {
+    pub fn contains(&self, server: &ServerInstance) -> bool {
         self.known.contains_key(server)
     }
 
     /// Adds a start that announced `age_ms` ago that it is leaving; returns whether it is new.
-    pub fn add(&mut self, now: Millis, server: &ServerStart, age_ms: Millis) -> bool {
+    pub fn add(&mut self, now: Millis, server: &ServerInstance, age_ms: Millis) -> bool {
         if self.contains(server) {
             return false;
         }
         self.known.insert(server.clone(), now.saturating_sub(age_ms));
-        self.digest ^= hash(server);
+        self.digest ^= digest_term(server);
         true
     }
 
@@ -50,7 +50,7 @@
         &mut self,
         now: Millis,
         facts: &[LeavingFact],
-        is_listed: impl Fn(&ServerStart) -> bool,
+        is_listed: impl Fn(&ServerInstance) -> bool,
     ) -> Vec<LeavingFact> {
         let is_kept =
             |fact: &&LeavingFact| fact.age_ms < UNLISTED_RETENTION_MS || is_listed(&fact.server);
@@ -62,7 +62,7 @@
     pub fn facts(&self, now: Millis, max_count: usize, offset: usize) -> Vec<LeavingFact> {
         let first = offset % self.known.len().max(1);
         let rotated = self.known.iter().skip(first).chain(self.known.iter().take(first));
-        let fact = |(server, at): (&ServerStart, &Millis)| LeavingFact {
+        let fact = |(server, at): (&ServerInstance, &Millis)| LeavingFact {
             server: server.clone(),
             age_ms: now.saturating_sub(*at),
         };
@@ -80,17 +80,17 @@
     }
 
     /// Removes starts that are unlisted and were announced at least 600 s ago.
-    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerInstance) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, at| {
             let is_kept = now.saturating_sub(*at) < UNLISTED_RETENTION_MS || is_listed(server);
-            *digest ^= if is_kept { 0 } else { hash(server) };
+            *digest ^= if is_kept { 0 } else { digest_term(server) };
             is_kept
         });
     }
 }
 
-fn hash(server: &ServerStart) -> u64 {
+fn digest_term(server: &ServerInstance) -> u64 {
     let mut buf = b"leaving ".to_vec();
     buf.extend_from_slice(server.name.as_str().as_bytes());
     buf.extend_from_slice(&server.started_ms.to_le_bytes());
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::Millis;
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::hints::UNLISTED_RETENTION_MS;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -15,16 +15,16 @@
 /// The rest period of each server, by this daemon's clock.
 #[derive(Debug, Clone, Default)]
 pub struct RestPeriods {
-    known: HashMap<ServerStart, RestPeriod>,
+    known: HashMap<ServerInstance, RestPeriod>,
 }
 
 impl RestPeriods {
     /// Records that a server requests a rest of `rest_ms` from now. Returns the new end if it is
     /// later than the known one: a shorter rest does not end a longer one.
-    pub fn observe(
+    pub fn record(
         &mut self,
         now: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         rest_ms: Millis,
     ) -> Option<Millis> {
         let until = now.saturating_add(rest_ms);
@@ -39,7 +39,7 @@
 
     /// Returns the end of this start's last rest period, which may be in the past; 0 if it has
     /// none.
-    pub fn end(&self, server: &ServerStart) -> Millis {
+    pub fn end(&self, server: &ServerInstance) -> Millis {
         self.known.get(server).map_or(0, |rest| rest.until)
     }
 
@@ -50,7 +50,7 @@
 
     /// Removes rest periods that have ended, and those of unlisted servers that were requested
     /// at least 600 s ago.
-    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerInstance) -> bool) {
         self.known.retain(|server, rest| {
             let is_recent = now.saturating_sub(rest.asked_at) < UNLISTED_RETENTION_MS;
             now < rest.until && (is_recent || is_listed(server))
--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -267,7 +267,7 @@
             free: account.free(),
             opened: account.opened,
             witnesses: Vec::new(),
-            replaced_start: account.earlier_start,
+            replaced_incarnation: account.earlier_start,
             number: account.draws,
             returned: account.returned,
             need,
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -144,7 +144,7 @@
         self.record_received(&request.budget, request.holder, request.given_back);
         let account = self.accounts.entry(request.budget.clone()).or_default();
         // Tokens that come back were not spent.
-        account.allotted_rate.record_drop(known, request.given_back.max(known), now);
+        account.allotted_rate.record_decrease(known, request.given_back.max(known), now);
     }
 
     /// Allots the tokens that `request` needs, and those that it wants ahead as far as there
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -70,7 +70,7 @@
     pub witnesses: Vec<Witness>,
     /// An earlier incarnation at that address, as known to the holder, which this draw ends.
     #[serde(rename = "ends")]
-    pub replaced_start: Option<Incarnation>,
+    pub replaced_incarnation: Option<Incarnation>,
     /// Sequence number among the draws of this holder and budget.
     pub number: u64,
     /// Cumulative tokens that the holder has given back to the store; the holder has already
--- a/crates/core/src/holder/rate.rs
+++ b/crates/core/src/holder/rate.rs
@@ -28,7 +28,7 @@
     }
 
     /// Counts the decrease of a level from `before` to `level`, or subtracts its increase.
-    pub(super) fn record_drop(&mut self, before: Tokens, level: Tokens, now: Millis) {
+    pub(super) fn record_decrease(&mut self, before: Tokens, level: Tokens, now: Millis) {
         self.add(before.saturating_sub(level), now);
         self.sum = (self.sum - level.saturating_sub(before) as f64).max(0.0);
     }
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -94,7 +94,7 @@
         let account = self.accounts.entry(budget.clone()).or_default();
         // Tokens that daemons prefetch and give back again are not counted as used.
         let before = account.outlook.map_or(outlook.left, |before| before.left);
-        account.fleet_rate.record_drop(before, outlook.left, now);
+        account.fleet_rate.record_decrease(before, outlook.left, now);
         account.outlook = Some(outlook);
         account.outlook_at = now;
     }
--- a/crates/core/src/holder/statement.rs
+++ b/crates/core/src/holder/statement.rs
@@ -55,20 +55,26 @@
     /// just after them.
     pub fn new(ledger: &Ledger, mut holders: Vec<DaemonHolding>) -> Self {
         let sum = |part: fn(&DaemonHolding) -> Tokens| holders.iter().map(part).sum::<Tokens>();
-        let (spent, reserved, held) =
-            (sum(|one| one.spent), sum(|one| one.reserved), sum(|one| one.held));
-        let has_answered =
-            |start: &Incarnation| holders.iter().any(|one| one.incarnation == *start);
-        let unanswered = ledger.grants.iter().filter(|(start, _)| !has_answered(start));
+        let (spent, reserved, held) = (
+            sum(|holding| holding.spent),
+            sum(|holding| holding.reserved),
+            sum(|holding| holding.held),
+        );
+        let has_answered = |incarnation: &Incarnation| {
+            holders.iter().any(|holding| holding.incarnation == *incarnation)
+        };
+        let unanswered = ledger.grants.iter().filter(|(incarnation, _)| !has_answered(incarnation));
         let unanswered =
             unanswered.map(|(_, grant)| grant.granted.saturating_sub(grant.returned)).sum();
         // The ledger includes what an ended incarnation kept, whether or not it still answers.
-        let is_ended = |one: &&DaemonHolding| ledger.retired_holders.contains(&one.incarnation);
-        let counted_twice: Tokens = holders.iter().filter(is_ended).map(|one| one.spent).sum();
+        let is_ended =
+            |holding: &&DaemonHolding| ledger.retired_holders.contains(&holding.incarnation);
+        let counted_twice: Tokens =
+            holders.iter().filter(is_ended).map(|holding| holding.spent).sum();
         let ended = ledger.retired - counted_twice as i64;
         let at_daemons = spent + reserved + held + unanswered;
         let in_transit = ledger.committed() - ended - at_daemons as i64;
-        holders.retain(|one| one.spent + one.reserved + one.held > 0);
+        holders.retain(|holding| holding.spent + holding.reserved + holding.held > 0);
         holders.sort_by(|a, b| a.daemon.cmp(&b.daemon));
         Statement {
             total: ledger.total(),
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -93,7 +93,7 @@
 
 impl Attempt<Admitted> {
     /// Returns the maximum cost.
-    pub fn limit(&self) -> Tokens {
+    pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
@@ -111,7 +111,7 @@
 
 impl Attempt<Dispatched> {
     /// Returns the maximum cost.
-    pub fn limit(&self) -> Tokens {
+    pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
--- a/crates/core/src/limits/header.rs
+++ b/crates/core/src/limits/header.rs
@@ -29,7 +29,7 @@
     /// The server's limit.
     Limit(RequestRate),
     /// The value is not a rate; it neither sets nor lifts a limit.
-    Malformed(String),
+    Unreadable(String),
 }
 
 impl LimitHeader {
@@ -43,7 +43,7 @@
                     LimitHeader::Limit(known)
                 }
                 (_, Some(rate)) => LimitHeader::Limit(rate),
-                (LimitHeader::Absent, None) => LimitHeader::Malformed(text.trim().to_owned()),
+                (LimitHeader::Absent, None) => LimitHeader::Unreadable(text.trim().to_owned()),
                 (known, None) => known,
             };
         }
--- a/crates/core/src/limits/issuer.rs
+++ b/crates/core/src/limits/issuer.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::limits::RequestRate;
 use crate::{Incarnation, Millis};
 
@@ -105,7 +105,7 @@
 /// Token buckets of one daemon, by server start.
 #[derive(Debug, Clone, Default)]
 pub struct Issuer {
-    buckets: HashMap<ServerStart, Bucket>,
+    buckets: HashMap<ServerInstance, Bucket>,
 }
 
 impl Issuer {
@@ -113,7 +113,7 @@
     pub fn issue(
         &mut self,
         now: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         limit: RequestRate,
         position: IssuerPosition,
         request: PermitRequest,
@@ -132,12 +132,12 @@
     }
 
     /// Drops the buckets of servers for which `is_limited` is false.
-    pub fn retain(&mut self, is_limited: impl Fn(&ServerStart) -> bool) {
+    pub fn retain(&mut self, is_limited: impl Fn(&ServerInstance) -> bool) {
         self.buckets.retain(|server, _| is_limited(server));
     }
 
     /// Returns the rank and the permits in the bucket for each server of this issuer.
-    pub fn levels(&self) -> impl Iterator<Item = (&ServerStart, usize, f64)> {
+    pub fn levels(&self) -> impl Iterator<Item = (&ServerInstance, usize, f64)> {
         self.buckets.iter().map(|(server, bucket)| (server, bucket.rank, bucket.permits))
     }
 }
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::Millis;
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::limits::issuer::MAX_PERMITS_PER_REQUEST;
 
 /// Lifetime of a permit from the time it was requested, in milliseconds. It keeps a daemon that
@@ -28,12 +28,12 @@
 /// Permits of one daemon, by server start.
 #[derive(Debug, Clone, Default)]
 pub struct Leases {
-    leases: HashMap<ServerStart, Lease>,
+    leases: HashMap<ServerInstance, Lease>,
 }
 
 impl Leases {
     /// Takes a permit for this server if one is available; returns its expiry time.
-    pub fn take(&mut self, now: Millis, server: &ServerStart) -> Option<Millis> {
+    pub fn take(&mut self, now: Millis, server: &ServerInstance) -> Option<Millis> {
         let lease = self.leases.get_mut(server)?;
         if lease.permits == 0 || now >= lease.until {
             return None;
@@ -44,7 +44,7 @@
     }
 
     /// Adds permits that were requested at `requested_at`.
-    pub fn add(&mut self, requested_at: Millis, server: &ServerStart, permits: u32) {
+    pub fn add(&mut self, requested_at: Millis, server: &ServerInstance, permits: u32) {
         let lease = self.leases.entry(server.clone()).or_default();
         if requested_at >= lease.until {
             lease.permits = 0;
@@ -56,7 +56,7 @@
     }
 
     /// Returns an unused permit to the lease, unless it has expired.
-    pub fn give_back(&mut self, now: Millis, server: &ServerStart, until: Millis) {
+    pub fn give_back(&mut self, now: Millis, server: &ServerInstance, until: Millis) {
         if now >= until {
             return;
         }
@@ -67,19 +67,19 @@
     }
 
     /// Records that no permit could be obtained.
-    pub fn record_denial(&mut self, now: Millis, server: &ServerStart) {
+    pub fn record_denial(&mut self, now: Millis, server: &ServerInstance) {
         self.leases.entry(server.clone()).or_default().denied_at = Some(now);
     }
 
     /// Whether permits were denied recently. Callers should then ask for one request at a time,
     /// because each denied request makes the others wait longer.
-    pub fn is_scarce(&self, now: Millis, server: &ServerStart) -> bool {
+    pub fn is_scarce(&self, now: Millis, server: &ServerInstance) -> bool {
         let denied_at = self.leases.get(server).and_then(|lease| lease.denied_at);
         denied_at.is_some_and(|at| now < at + SCARCE_MS)
     }
 
     /// Returns the number of permits to request: one, plus the number used recently.
-    pub fn permits_to_request(&mut self, now: Millis, server: &ServerStart) -> u32 {
+    pub fn permits_to_request(&mut self, now: Millis, server: &ServerInstance) -> u32 {
         let lease = self.leases.entry(server.clone()).or_default();
         if now >= lease.window_start + PERMIT_LIFETIME_MS {
             lease.used =
@@ -90,13 +90,13 @@
     }
 
     /// Returns the number of valid permits held for this server.
-    pub fn available(&self, now: Millis, server: &ServerStart) -> u32 {
+    pub fn available(&self, now: Millis, server: &ServerInstance) -> u32 {
         let lease = self.leases.get(server).filter(|lease| now < lease.until);
         lease.map_or(0, |lease| lease.permits)
     }
 
     /// Drops the leases of servers for which `is_limited` is false.
-    pub fn retain(&mut self, is_limited: impl Fn(&ServerStart) -> bool) {
+    pub fn retain(&mut self, is_limited: impl Fn(&ServerInstance) -> bool) {
         self.leases.retain(|server, _| is_limited(server));
     }
 }
--- a/crates/core/src/limits/tracker.rs
+++ b/crates/core/src/limits/tracker.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Millis;
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::limits::{LimitHeader, RequestRate};
 
 /// Longest time that a fact is in transit between daemons, in milliseconds. The ages in a fact
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitFact {
     /// Server start that sent the response.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Announced limit; `None` when the server has no limit any more.
     pub limit: Option<RequestRate>,
     /// Time since the request of that response was sent, in milliseconds.
@@ -47,14 +47,14 @@
 
 /// Limit of one server start, with the times of the request and of the response.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct KnownLimit {
     limit: Option<RequestRate>,
     sent_at: Millis,
     received_at: Millis,
 }
 
-impl Known {
-    fn fact(&self, now: Millis, server: &ServerStart) -> LimitFact {
+impl KnownLimit {
+    fn fact(&self, now: Millis, server: &ServerInstance) -> LimitFact {
         LimitFact {
             server: server.clone(),
             limit: self.limit,
@@ -67,7 +67,7 @@
 /// Limits that one daemon knows, by server start.
 #[derive(Debug, Clone, Default)]
 pub struct LimitTracker {
-    known: HashMap<ServerStart, Known>,
+    known: HashMap<ServerInstance, KnownLimit>,
     /// See [`LimitTracker::digest`].
     digest: u64,
 }
@@ -78,12 +78,12 @@
     pub fn record_response(
         &mut self,
         now: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         sent_at: Millis,
         header: &LimitHeader,
     ) -> Option<LimitChange> {
         let limit = match header {
-            LimitHeader::Malformed(_) => return None,
+            LimitHeader::Unreadable(_) => return None,
             LimitHeader::Absent => None,
             LimitHeader::Limit(rate) => Some(*rate),
         };
@@ -93,7 +93,7 @@
         if is_older || known.is_none() && limit.is_none() {
             return None;
         }
-        self.update(now, server, Known { limit, sent_at, received_at: now })
+        self.update(now, server, KnownLimit { limit, sent_at, received_at: now })
     }
 
     /// Merges facts received from a peer; returns the limits that have changed.
@@ -102,7 +102,7 @@
     }
 
     fn merge_fact(&mut self, now: Millis, fact: &LimitFact) -> Option<LimitChange> {
-        let received = Known {
+        let received = KnownLimit {
             limit: fact.limit,
             sent_at: now.saturating_sub(fact.request_age_ms),
             received_at: now.saturating_sub(fact.received_age_ms),
@@ -118,8 +118,14 @@
     }
 
     /// Replaces what is known of the server, or refreshes its times if the limit is the same.
-    fn update(&mut self, now: Millis, server: &ServerStart, update: Known) -> Option<LimitChange> {
-        let known = self.known.entry(server.clone()).or_insert(Known { limit: None, ..update });
+    fn update(
+        &mut self,
+        now: Millis,
+        server: &ServerInstance,
+        update: KnownLimit,
+    ) -> Option<LimitChange> {
+        let known =
+            self.known.entry(server.clone()).or_insert(KnownLimit { limit: None, ..update });
         let before = known.limit;
         if before == update.limit {
             known.sent_at = known.sent_at.max(update.sent_at);
@@ -132,12 +138,12 @@
     }
 
     /// Returns the limit of this server start.
-    pub fn limit(&self, server: &ServerStart) -> Option<RequestRate> {
+    pub fn limit(&self, server: &ServerInstance) -> Option<RequestRate> {
         self.known.get(server)?.limit
     }
 
     /// Returns what is known of this server start, for peers.
-    pub fn fact(&self, now: Millis, server: &ServerStart) -> Option<LimitFact> {
+    pub fn fact(&self, now: Millis, server: &ServerInstance) -> Option<LimitFact> {
         self.known.get(server).map(|known| known.fact(now, server))
     }
 
@@ -160,7 +166,7 @@
     }
 
     /// Drops limits that were lifted long ago and servers that are no longer listed.
-    pub fn forget_old(&mut self, now: Millis, is_listed: impl Fn(&ServerStart) -> bool) {
+    pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerInstance) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, known| {
             let is_recent = now.saturating_sub(known.received_at) < RETENTION_MS;
@@ -181,7 +187,7 @@
 }
 
 /// Contribution of one limit to the digest; 0 without a limit.
-fn digest_term(server: &ServerStart, limit: Option<RequestRate>) -> u64 {
+fn digest_term(server: &ServerInstance, limit: Option<RequestRate>) -> u64 {
     let Some(limit) = limit else { return 0 };
     let mut buf = server.name.as_str().as_bytes().to_vec();
     buf.extend_from_slice(&server.started_ms.to_le_bytes());
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -135,13 +135,13 @@
 
     /// Records which start of the peer is running; on a restart, resets what was known of the
     /// earlier start.
-    fn set_incarnation(&mut self, start: Incarnation) {
-        if self.incarnation == Some(start) {
+    fn set_incarnation(&mut self, incarnation: Incarnation) {
+        if self.incarnation == Some(incarnation) {
             return;
         }
         let has_restarted = self.incarnation.is_some();
         self.was_on_list &= !has_restarted;
-        self.incarnation = Some(start);
+        self.incarnation = Some(incarnation);
         self.revision = 0;
     }
 }
@@ -266,9 +266,9 @@
 
     /// Records which start of a peer has answered a call: in a large fleet most peers exchange
     /// no heartbeats with this daemon, and tokens returned to a peer have to name its start.
-    pub fn record_answer(&mut self, name: &Name, start: Incarnation) {
+    pub fn record_answer(&mut self, name: &Name, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.set_incarnation(start);
+            peer.set_incarnation(incarnation);
             peer.failures = 0;
         }
     }
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -6,8 +6,8 @@
 //! simultaneous owners, or an owner that resumes after a pause, cause write
 //! conflicts but never grant more tokens than the budget holds.
 
+mod collection;
 mod draft;
-mod gather;
 mod machine;
 mod message;
 
--- a/crates/core/src/owner/gather.rs
+++ b/crates/core/src/owner/collection.rs
@@ -10,11 +10,11 @@
 /// milliseconds; with more than 100 holders, one millisecond per holder. Requests that
 /// arrive within the interval reuse the last result, so that most refusals are immediate
 /// and the load on each holder stays bounded.
-const MIN_GATHER_INTERVAL_MS: Millis = 100;
+const MIN_COLLECTION_INTERVAL_MS: Millis = 100;
 
 /// State and result of the last collection for one budget.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct Gather {
+pub(super) struct Collection {
     running: bool,
     started: Option<Millis>,
     interval: Millis,
@@ -26,7 +26,7 @@
     pub(super) more_expected: bool,
 }
 
-impl Gather {
+impl Collection {
     /// Whether the result is recent enough for a request that arrived at `arrived`.
     fn is_valid_for(&self, now: Millis, arrived: Millis) -> bool {
         let is_fresh = |started: Millis| started >= arrived || now < started + self.interval;
@@ -37,7 +37,7 @@
 /// Outcome of looking up a collection for a request.
 pub(super) enum Lookup {
     /// A finished collection whose result is recent enough.
-    Finished(Gather),
+    Finished(Collection),
     /// A collection is in progress.
     Running,
     /// A new collection has to be requested from these holders.
@@ -46,15 +46,15 @@
 
 /// The last collection for each budget.
 #[derive(Debug, Default)]
-pub(super) struct Gathers {
-    by_budget: HashMap<Name, Gather>,
+pub(super) struct Collections {
+    by_budget: HashMap<Name, Collection>,
     disabled: bool,
 }
 
-impl Gathers {
+impl Collections {
     /// Returns an instance that never collects, as a baseline for comparison.
     pub(super) fn disabled() -> Self {
-        Gathers { disabled: true, ..Gathers::default() }
+        Collections { disabled: true, ..Collections::default() }
     }
 
     /// Looks up the collection for a request that arrived at `arrived`, and marks one as
@@ -67,38 +67,40 @@
         holders: impl FnOnce() -> Vec<HolderRef>,
     ) -> Lookup {
         if self.disabled {
-            return Lookup::Finished(Gather::default());
+            return Lookup::Finished(Collection::default());
         }
-        let gather = self.by_budget.entry(budget.clone()).or_default();
-        if gather.running {
+        let collection = self.by_budget.entry(budget.clone()).or_default();
+        if collection.running {
             return Lookup::Running;
         }
-        if gather.is_valid_for(now, arrived) {
-            return Lookup::Finished(*gather);
+        if collection.is_valid_for(now, arrived) {
+            return Lookup::Finished(*collection);
         }
         let holders = holders();
-        let interval = MIN_GATHER_INTERVAL_MS.max(holders.len() as Millis);
-        *gather = Gather { running: true, started: Some(now), interval, ..Gather::default() };
+        let interval = MIN_COLLECTION_INTERVAL_MS.max(holders.len() as Millis);
+        *collection =
+            Collection { running: true, started: Some(now), interval, ..Collection::default() };
         Lookup::Start(holders)
     }
 
     /// Records the result of a finished collection.
     pub(super) fn finish(&mut self, budget: Name, free: Tokens, more_expected: bool) {
-        let gather = self.by_budget.entry(budget).or_default();
-        *gather = Gather { running: false, finished: true, free, more_expected, ..*gather };
+        let collection = self.by_budget.entry(budget).or_default();
+        *collection =
+            Collection { running: false, finished: true, free, more_expected, ..*collection };
     }
 
     /// Deducts the tokens for a draw from the collected ones: `need`, or more if the
     /// draw's terms allow it. Returns the amount.
     pub(super) fn take(&mut self, draw: &Draw, need: Tokens) -> Tokens {
-        let gather = self.by_budget.entry(draw.budget.clone()).or_default();
-        let amount = draw.terms.draw_amount(draw.want, gather.free).max(need);
-        gather.free = gather.free.saturating_sub(amount);
+        let collection = self.by_budget.entry(draw.budget.clone()).or_default();
+        let amount = draw.terms.draw_amount(draw.want, collection.free).max(need);
+        collection.free = collection.free.saturating_sub(amount);
         amount
     }
 
     /// Discards the results of finished collections.
     pub(super) fn discard_finished(&mut self) {
-        self.by_budget.retain(|_, gather| gather.running);
+        self.by_budget.retain(|_, collection| collection.running);
     }
 }
--- a/crates/core/src/owner/machine.rs
+++ b/crates/core/src/owner/machine.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 
 use crate::holder::Draw;
+use crate::owner::collection::Collections;
 use crate::owner::draft::Draft;
-use crate::owner::gather::Gathers;
 use crate::owner::message::{Command, Event, Reply, Request, Ticket};
 use crate::owner::{MAX_REQUEST_AGE_MS, PREFETCH_DELAY_MS, RETRY_SOON_MS};
 use crate::shard::Shard;
@@ -92,7 +92,7 @@
     /// Whether a request in the current round requires an immediate write.
     is_write_due: bool,
     written_shard: Shard,
-    gathers: Gathers,
+    collections: Collections,
     /// Rate limiter of writes: each write advances this time by one interval. A write is
     /// allowed while it is at most [`WRITE_BURST`] intervals ahead of the clock.
     write_quota_used_until: Millis,
@@ -117,7 +117,7 @@
             in_write: Vec::new(),
             is_write_due: false,
             written_shard: Shard::default(),
-            gathers: Gathers::default(),
+            collections: Collections::default(),
             write_quota_used_until: 0,
             store_retry_at: 0,
             next_wake: None,
@@ -127,7 +127,7 @@
 
     /// Disables collections from other holders, as a baseline for comparison.
     pub fn without_collecting(mut self) -> Self {
-        self.gathers = Gathers::disabled();
+        self.collections = Collections::disabled();
         self
     }
 
@@ -170,8 +170,8 @@
             }
             Event::Ambiguous => self.write_failed(),
             Event::StoreUnavailable => self.store_unavailable(now),
-            Event::Gathered { budget, free, more_expected } => {
-                self.gathers.finish(budget, free, more_expected);
+            Event::Collected { budget, free, more_expected } => {
+                self.collections.finish(budget, free, more_expected);
             }
             Event::Tick => {}
         }
@@ -234,7 +234,7 @@
             self.pending.push_front(pending);
         }
         // The collected tokens assigned to these requests were not transferred.
-        self.gathers.discard_finished();
+        self.collections.discard_finished();
     }
 
     fn advance(&mut self, now: Millis, commands: &mut Vec<Command>) {
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -1,8 +1,8 @@
 //! Handling of draws while the store is available.
 
 use crate::holder::Draw;
+use crate::owner::collection::{Collection, Lookup};
 use crate::owner::draft::{Draft, grant_and_open, granted_reply, holders_of};
-use crate::owner::gather::{Gather, Lookup};
 use crate::owner::machine::{Decision, MAX_SHARD_AGE_MS, Outcome, Owner, Pending};
 use crate::owner::message::{Command, HolderRef, Reply};
 use crate::owner::{PREFETCH_DELAY_MS, RETRY_LATER_MS, RETRY_SOON_MS};
@@ -88,7 +88,7 @@
             // delayed one of the earlier incarnation. With witnesses, the tokens that an
             // earlier incarnation never opened are reclaimed instead.
             ledger.retire_earlier_incarnations(draw.holder, &draw.address);
-        } else if let Some(earlier) = draw.replaced_start
+        } else if let Some(earlier) = draw.replaced_incarnation
             && draw.witnesses.is_empty()
         {
             ledger.retire_earlier_incarnation(earlier, draw.holder, &draw.address);
@@ -113,18 +113,18 @@
         }
         let me = self.me;
         let holders = || holders_of(ledger, me);
-        let Some(gather) = self.collection_for(now, pending, &draw.budget, holders, commands)
+        let Some(collection) = self.collection_for(now, pending, &draw.budget, holders, commands)
         else {
             return Decision::Wait;
         };
         // The collection has also taken the holder's own free tokens, so they are added.
         let need = need + draw.free;
         let available = ledger.available();
-        if available + gather.free < need {
-            return Decision::Answer(Outcome::Reply(short_reply(gather)));
+        if available + collection.free < need {
+            return Decision::Answer(Outcome::Reply(short_reply(collection)));
         }
         if available == 0 {
-            let max = self.gathers.take(draw, need);
+            let max = self.collections.take(draw, need);
             let reply = granted_reply(ledger, draw, false);
             return Decision::Answer(Outcome::Transfer { own_grant: None, max, need, reply });
         }
@@ -134,7 +134,7 @@
         // The store's available tokens are granted to this owner, so that all tokens go to
         // the holder in one transfer.
         let own_grant = Some(self.grant_to_owner(ledger, available));
-        let max = self.gathers.take(draw, need.saturating_sub(available)) + available;
+        let max = self.collections.take(draw, need.saturating_sub(available)) + available;
         let reply = granted_reply(ledger, draw, false);
         Decision::AfterWrite(Outcome::Transfer { own_grant, max, need, reply })
     }
@@ -174,20 +174,20 @@
         budget: &Name,
         holders: impl FnOnce() -> Vec<HolderRef>,
         commands: &mut Vec<Command>,
-    ) -> Option<Gather> {
-        match self.gathers.for_request(now, pending.arrived, budget, holders) {
-            Lookup::Finished(gather) => Some(gather),
+    ) -> Option<Collection> {
+        match self.collections.for_request(now, pending.arrived, budget, holders) {
+            Lookup::Finished(collection) => Some(collection),
             Lookup::Running => None,
             Lookup::Start(holders) => {
                 self.counts.gathers += 1;
-                commands.push(Command::Gather(budget.clone(), holders));
+                commands.push(Command::Collect(budget.clone(), holders));
                 None
             }
         }
     }
 }
 
-fn short_reply(gather: Gather) -> Reply {
-    let retry_after_ms = if gather.more_expected { RETRY_SOON_MS } else { RETRY_LATER_MS };
+fn short_reply(collection: Collection) -> Reply {
+    let retry_after_ms = if collection.more_expected { RETRY_SOON_MS } else { RETRY_LATER_MS };
     Reply::Short { retry_after_ms }
 }
--- a/crates/core/src/owner/machine/without_store.rs
+++ b/crates/core/src/owner/machine/without_store.rs
@@ -38,16 +38,16 @@
         let ledger = shard.as_ref().and_then(|(_, shard)| shard.budgets.get(&draw.budget));
         let me = self.me;
         let holders = || ledger.map(|ledger| holders_of(ledger, me)).unwrap_or_default();
-        let gather = self.collection_for(now, pending, &draw.budget, holders, commands);
+        let collection = self.collection_for(now, pending, &draw.budget, holders, commands);
         self.shard = shard;
-        let Some(gather) = gather else {
+        let Some(collection) = collection else {
             return Decision::Wait;
         };
         let need = draw.need + draw.free;
-        if gather.free < need {
+        if collection.free < need {
             return Decision::Answer(Outcome::Reply(unavailable));
         }
-        let max = self.gathers.take(draw, need);
+        let max = self.collections.take(draw, need);
         let (granted, opened) = (draw.known_granted, draw.opened);
         let reply =
             Reply::Granted { granted, opened, recorded: false, outlook: None, earlier_start: None };
--- a/crates/core/src/owner/message.rs
+++ b/crates/core/src/owner/message.rs
@@ -119,7 +119,7 @@
     /// The store is unavailable; a pending write did not take effect.
     StoreUnavailable,
     /// A collection has finished.
-    Gathered {
+    Collected {
         /// The budget whose tokens were collected.
         budget: Name,
         /// Free tokens that this daemon now holds.
@@ -152,7 +152,7 @@
     Write(u64, Shard),
     /// Collect all free tokens of the budget from these holders and from any others that
     /// may hold some, including the one that draws.
-    Gather(Name, Vec<HolderRef>),
+    Collect(Name, Vec<HolderRef>),
     /// Answer the request.
     Reply(Ticket, Reply),
     /// Transfer tokens that this daemon holds to the drawing holder, together with the reply.
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -197,10 +197,10 @@
             }
         }
         self.window.push_back((number, segment.at, requests));
-        self.drop_expired(now);
+        self.remove_expired(now);
     }
 
-    fn drop_expired(&mut self, now: Millis) {
+    fn remove_expired(&mut self, now: Millis) {
         while let Some((number, at, _)) = self.window.front() {
             if at.saturating_add(DEDUP_WINDOW_MS) > now {
                 return;
--- a/crates/core/src/retry_budget.rs
+++ b/crates/core/src/retry_budget.rs
@@ -52,7 +52,7 @@
         let window_ms = self.allowance.window_ms;
         let counts = self.counts(service);
         counts.requests.push_back(now);
-        expire(&mut counts.requests, now, window_ms);
+        remove_expired(&mut counts.requests, now, window_ms);
     }
 
     /// Returns whether one more retry may be sent to `service`, and counts it if so. `daemons` is
@@ -60,8 +60,8 @@
     pub fn try_retry(&mut self, service: &Name, daemons: usize, now: Millis) -> bool {
         let Allowance { ratio, extra, window_ms } = self.allowance;
         let counts = self.counts(service);
-        expire(&mut counts.requests, now, window_ms);
-        expire(&mut counts.retries, now, window_ms);
+        remove_expired(&mut counts.requests, now, window_ms);
+        remove_expired(&mut counts.retries, now, window_ms);
         let allowance_here = ratio * counts.requests.len() as f64 + extra / daemons.max(1) as f64;
         let allowed = (counts.retries.len() as f64) < allowance_here * USABLE_FRACTION;
         if allowed {
@@ -76,7 +76,7 @@
 }
 
 /// Removes the times that are outside the window ending at `now`.
-fn expire(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
+fn remove_expired(times: &mut VecDeque<Millis>, now: Millis, window_ms: Millis) {
     while times.front().is_some_and(|at| at + window_ms <= now) {
         times.pop_front();
     }
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -25,11 +25,11 @@
 
 use std::collections::HashMap;
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::hints::{LeavingServers, RestPeriods};
 use crate::router::peer_unread::PeerUnread;
 use crate::router::pool::{HallPool, Pool};
-use crate::router::prefill::{PrefillStats, mean};
+use crate::router::prefill::{PrefillStats, moving_average};
 use crate::router::view::{
     FAILURES_TO_EJECT, FIRST_EJECTION_MS, LEAVING_REPORT_TTL_MS, MAX_EJECTION_MS,
     MIN_SERVERS_PER_EJECTION, SLOW_START_MS,
@@ -74,9 +74,9 @@
                     ..old.clone()
                 };
             }
-            let start = view.known_start();
-            view.said_leaving = self.leaving.contains(&start);
-            view.rests_until = self.rests.end(&start);
+            let instance = view.known_instance();
+            view.said_leaving = self.leaving.contains(&instance);
+            view.rests_until = self.rests.end(&instance);
         }
         let indexed = servers.iter().enumerate();
         self.by_name = indexed.map(|(index, view)| (view.name.clone(), index as u32)).collect();
@@ -135,12 +135,12 @@
     }
 
     /// Returns whether this instance of a server is the one in the table.
-    pub fn is_current_start(&self, name: &Name, started_ms: Millis) -> bool {
+    pub fn is_current_instance(&self, name: &Name, started_ms: Millis) -> bool {
         self.index_of_instance(name, started_ms).is_some()
     }
 
     /// Returns whether this instance of a server is the one in the table and not leaving.
-    pub fn is_current_and_staying(&self, now: Millis, name: &Name, started_ms: Millis) -> bool {
+    pub fn is_current_and_not_leaving(&self, now: Millis, name: &Name, started_ms: Millis) -> bool {
         let index = self.index_of_instance(name, started_ms);
         index.is_some_and(|index| !self.servers[index].is_leaving(now))
     }
@@ -155,7 +155,12 @@
 
     /// Sets the limit, in requests per second from all daemons together, that this instance of
     /// a server has announced; `None` when it announces no limit any more.
-    pub fn set_rate_limit(&mut self, now: Millis, server: &ServerStart, per_second: Option<f64>) {
+    pub fn set_rate_limit(
+        &mut self,
+        now: Millis,
+        server: &ServerInstance,
+        per_second: Option<f64>,
+    ) {
         let Some(index) = self.index_of_instance(&server.name, server.started_ms) else { return };
         let view = &mut self.servers[index];
         if view.limit_per_s.is_some() && per_second.is_none() {
@@ -167,7 +172,12 @@
 
     /// Stops sending to this instance of a server until `until`, because of its limit of
     /// `per_second` requests from all daemons together.
-    pub fn block_for_rate_limit(&mut self, server: &ServerStart, per_second: f64, until: Millis) {
+    pub fn block_for_rate_limit(
+        &mut self,
+        server: &ServerInstance,
+        per_second: f64,
+        until: Millis,
+    ) {
         let Some(index) = self.index_of_instance(&server.name, server.started_ms) else { return };
         self.servers[index].limit_per_s = Some(per_second);
         self.servers[index].no_permit_until = until;
@@ -277,8 +287,8 @@
     }
 
     /// Removes what peers reported too long ago.
-    pub fn expire_unread_reports(&mut self, now: Millis) {
-        for part in self.peer_unread.expire(now) {
+    pub fn remove_expired_unread_reports(&mut self, now: Millis) {
+        for part in self.peer_unread.take_expired(now) {
             self.subtract_unread(&part);
         }
     }
@@ -324,7 +334,7 @@
     /// Adds a sample to a server's event interval and updates the means of its pools.
     fn change_pace(&mut self, index: usize, event_ms: f64) {
         let before = self.servers[index].event_ms;
-        let after = Some(mean(before.unwrap_or(0.0), event_ms));
+        let after = Some(moving_average(before.unwrap_or(0.0), event_ms));
         self.servers[index].event_ms = after;
         for (name, _) in &self.pools_of_server[index] {
             if let Some(pool) = self.pools.get_mut(name) {
--- a/crates/core/src/router/choose.rs
+++ b/crates/core/src/router/choose.rs
@@ -1,6 +1,6 @@
 //! Choice of a server for one request.
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::router::Router;
 use crate::router::load::Load;
 use crate::router::pool::{HallPool, Pool};
@@ -86,8 +86,8 @@
 
 impl Choice {
     /// Returns the chosen instance of the server.
-    pub fn start(&self) -> ServerStart {
-        ServerStart { name: self.server.clone(), started_ms: self.started_ms }
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance { name: self.server.clone(), started_ms: self.started_ms }
     }
 }
 
--- a/crates/core/src/router/closed_servers.rs
+++ b/crates/core/src/router/closed_servers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::hints::{Closed, LeavingFact};
 use crate::router::Router;
 use crate::router::view::ServerView;
@@ -16,12 +16,12 @@
     ///
     /// # Errors
     /// [`Closed`] with the reason.
-    pub fn check_open(&self, now: Millis, server: &ServerStart) -> Result<(), Closed> {
-        let start = self.resolve_start(server);
-        if self.leaving.contains(&start) {
+    pub fn check_open(&self, now: Millis, server: &ServerInstance) -> Result<(), Closed> {
+        let instance = self.resolve_instance(server);
+        if self.leaving.contains(&instance) {
             return Err(Closed::Leaving);
         }
-        let left_ms = self.rests.end(&start).saturating_sub(now);
+        let left_ms = self.rests.end(&instance).saturating_sub(now);
         if left_ms > 0 { Err(Closed::Resting { left_ms }) } else { Ok(()) }
     }
 
@@ -32,8 +32,8 @@
 
     /// Records that this instance of a server has announced that it is leaving. Returns the
     /// fact to send to peers if it is new.
-    pub fn observe_leaving(&mut self, now: Millis, server: &ServerStart) -> Option<LeavingFact> {
-        let server = self.resolve_start(server);
+    pub fn record_leaving(&mut self, now: Millis, server: &ServerInstance) -> Option<LeavingFact> {
+        let server = self.resolve_instance(server);
         let is_new = self.leaving.add(now, &server, 0);
         self.refresh_view(&server.name);
         is_new.then_some(LeavingFact { server, age_ms: 0 })
@@ -41,7 +41,7 @@
 
     /// Merges facts from peers about server instances that are leaving. Returns the new ones.
     pub fn merge_leaving(&mut self, now: Millis, facts: &[LeavingFact]) -> Vec<LeavingFact> {
-        let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
+        let listed = ListedInstances { servers: &self.servers, by_name: &self.by_name };
         let new = self.leaving.merge(now, facts, |server| listed.contains(server));
         new.iter().for_each(|fact| self.refresh_view(&fact.server.name));
         new
@@ -59,16 +59,16 @@
 
     /// Records that this instance of a server asks now for a rest of `rest_ms`. Returns whether
     /// the rest ends later than the one known before.
-    pub fn observe_rest(&mut self, now: Millis, server: &ServerStart, rest_ms: Millis) -> bool {
-        let server = self.resolve_start(server);
-        let is_longer = self.rests.observe(now, &server, rest_ms).is_some();
+    pub fn record_rest(&mut self, now: Millis, server: &ServerInstance, rest_ms: Millis) -> bool {
+        let server = self.resolve_instance(server);
+        let is_longer = self.rests.record(now, &server, rest_ms).is_some();
         self.refresh_view(&server.name);
         is_longer
     }
 
     /// Removes leaving server instances that are no longer listed, and rests that have ended.
-    pub fn expire_closed(&mut self, now: Millis) {
-        let listed = ListedStarts { servers: &self.servers, by_name: &self.by_name };
+    pub fn remove_expired_hints(&mut self, now: Millis) {
+        let listed = ListedInstances { servers: &self.servers, by_name: &self.by_name };
         self.leaving.remove_expired(now, |server| listed.contains(server));
         self.rests.remove_expired(now, |server| listed.contains(server));
     }
@@ -82,45 +82,45 @@
         if started_ms == 0 || view.started_ms != 0 || view.reported_start_ms == started_ms {
             return;
         }
-        let before = view.known_start();
+        let before = view.known_instance();
         view.reported_start_ms = started_ms;
-        let start = view.known_start();
+        let instance = view.known_instance();
         if before.started_ms == 0 {
             if self.leaving.contains(&before) {
-                self.leaving.add(now, &start, 0);
+                self.leaving.add(now, &instance, 0);
             }
-            self.rests.observe(now, &start, self.rests.end(&before).saturating_sub(now));
+            self.rests.record(now, &instance, self.rests.end(&before).saturating_sub(now));
         }
         self.refresh_view(name);
     }
 
     /// Completes the start time from load reports: a choice has none for a server of the
     /// operators' table.
-    fn resolve_start(&self, server: &ServerStart) -> ServerStart {
+    fn resolve_instance(&self, server: &ServerInstance) -> ServerInstance {
         let view = self.by_name.get(&server.name).map(|index| &self.servers[*index as usize]);
         let known = view.filter(|view| server.started_ms == 0 && view.started_ms == 0);
-        known.map_or_else(|| server.clone(), ServerView::known_start)
+        known.map_or_else(|| server.clone(), ServerView::known_instance)
     }
 
     /// Copies a server's leaving and rest state into its view.
     fn refresh_view(&mut self, name: &Name) {
         let Some(index) = self.by_name.get(name).map(|index| *index as usize) else { return };
         let view = &mut self.servers[index];
-        let start = view.known_start();
-        view.said_leaving = self.leaving.contains(&start);
-        view.rests_until = self.rests.end(&start);
+        let instance = view.known_instance();
+        view.said_leaving = self.leaving.contains(&instance);
+        view.rests_until = self.rests.end(&instance);
     }
 }
 
 /// Instances of the servers in the table.
-struct ListedStarts<'a> {
+struct ListedInstances<'a> {
     servers: &'a [ServerView],
     by_name: &'a HashMap<Name, u32>,
 }
 
-impl ListedStarts<'_> {
-    fn contains(&self, server: &ServerStart) -> bool {
+impl ListedInstances<'_> {
+    fn contains(&self, server: &ServerInstance) -> bool {
         let index = self.by_name.get(&server.name).map(|index| *index as usize);
-        index.is_some_and(|index| self.servers[index].known_start() == *server)
+        index.is_some_and(|index| self.servers[index].known_instance() == *server)
     }
 }
--- a/crates/core/src/router/peer_unread.rs
+++ b/crates/core/src/router/peer_unread.rs
@@ -59,7 +59,7 @@
     }
 
     /// Empties expired reports and returns their entries.
-    pub(super) fn expire(&mut self, now: Millis) -> Vec<UnreadTokens> {
+    pub(super) fn take_expired(&mut self, now: Millis) -> Vec<UnreadTokens> {
         let is_old = |at: Millis| now > at + REPORT_TTL_MS;
         let old = self.by_peer.values_mut().filter(|(at, _)| is_old(*at));
         // The sequence number is kept, so that older reports are still ignored.
--- a/crates/core/src/router/prefill.rs
+++ b/crates/core/src/router/prefill.rs
@@ -100,7 +100,7 @@
 impl PrefillStats {
     /// Records a prompt that was sent to any server of the pool.
     pub(super) fn record_prompt(&mut self, prompt: Tokens) {
-        self.mean_prompt = mean(self.mean_prompt, prompt as f64);
+        self.mean_prompt = moving_average(self.mean_prompt, prompt as f64);
     }
 
     /// Records a stream from the server `view` that has ended.
@@ -139,6 +139,6 @@
 }
 
 /// Returns the moving average with one more sample. A `before` of 0 means no sample yet.
-pub(super) fn mean(before: f64, sample: f64) -> f64 {
+pub(super) fn moving_average(before: f64, sample: f64) -> f64 {
     if before > 0.0 { before + (sample - before) * SAMPLE_WEIGHT } else { sample }
 }
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::router::load::Load;
 use crate::table::{Server, ServerKind, ServerState};
 use crate::{Millis, Name, Tokens};
@@ -118,16 +118,16 @@
     }
 
     /// Returns the instance of the server that is in the table.
-    pub fn start(&self) -> ServerStart {
-        ServerStart { name: self.name.clone(), started_ms: self.started_ms }
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance { name: self.name.clone(), started_ms: self.started_ms }
     }
 
     /// Returns the instance of the server, with the start time from its load reports when the
     /// table has none.
-    pub(super) fn known_start(&self) -> ServerStart {
+    pub(super) fn known_instance(&self) -> ServerInstance {
         let is_listed = self.started_ms != 0;
         let started_ms = if is_listed { self.started_ms } else { self.reported_start_ms };
-        ServerStart { name: self.name.clone(), started_ms }
+        ServerInstance { name: self.name.clone(), started_ms }
     }
 
     /// Returns the number of requests from the last load report, corrected by the requests that
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -208,7 +208,7 @@
         for gone in &changes.gone {
             match self.started_ms(&gone.name) {
                 // It was added and removed between two reads; peers may have seen it.
-                None => self.remember_removed(at, gone.clone()),
+                None => self.record_removal(at, gone.clone()),
                 Some(known) if known == gone.started_ms => {
                     changed |= self.remove(now, at, gone.clone());
                 }
@@ -232,7 +232,7 @@
         }
         if changes.whole {
             // Entries that were added and removed before are unknown.
-            self.forget_changes(at);
+            self.discard_removals(at);
         }
         changed
     }
@@ -253,7 +253,7 @@
         }
         self.needs_full_list = false;
         self.version = version;
-        self.forget_changes(version.at + u64::from(version.drops > 0));
+        self.discard_removals(version.at + u64::from(version.drops > 0));
         let old = std::mem::take(&mut self.entries);
         let is_known = |shared: &SharedServer| {
             shared.dropped_in.is_none() || old.contains_key(&shared.server.name)
@@ -294,7 +294,7 @@
         self.version.drops += dropped as u32;
         if dropped > 0 {
             // Drops have no version of the platform.
-            self.forget_changes(self.version.at.max(self.read_to) + 1);
+            self.discard_removals(self.version.at.max(self.read_to) + 1);
         }
         dropped > 0
     }
@@ -354,7 +354,7 @@
     fn remove_now(&mut self, at: u64, gone: RemovedServer) -> bool {
         let is_known = self.entries.remove(&gone.name).is_some();
         if is_known {
-            self.remember_removed(at, gone);
+            self.record_removal(at, gone);
         }
         is_known
     }
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of remembered removals: some 60 bytes each, and more than half of 10,000
 /// servers are replaced in a release.
-const MAX_REMEMBERED_REMOVALS: usize = 8_192;
+const MAX_RECORDED_REMOVALS: usize = 8_192;
 
 /// An update of the list from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
     /// Returns the order-independent hash of all entries that are not in their grace period.
     pub fn digest(&self) -> u64 {
         let registered = self.entries.values().filter(|entry| entry.dropped_at.is_none());
-        registered.fold(0, |sum, entry| sum ^ hash(&entry.server))
+        registered.fold(0, |sum, entry| sum ^ digest_term(&entry.server))
     }
 
     /// Whether this list differs from a peer's after the peer's changes were applied: outages and
@@ -87,7 +87,7 @@
                 for gone in gone {
                     match self.started_ms(&gone.name) {
                         // Other peers may have seen it.
-                        None => self.remember_removed(version.at, gone),
+                        None => self.record_removal(version.at, gone),
                         Some(known) if known <= gone.started_ms => {
                             self.remove_now(version.at, gone);
                         }
@@ -118,9 +118,9 @@
         self.entries.insert(entry.server.name.clone(), entry);
     }
 
-    pub(super) fn remember_removed(&mut self, at: u64, gone: RemovedServer) {
+    pub(super) fn record_removal(&mut self, at: u64, gone: RemovedServer) {
         self.removed.push_back((at, gone));
-        while self.removed.len() > MAX_REMEMBERED_REMOVALS
+        while self.removed.len() > MAX_RECORDED_REMOVALS
             && let Some((at, _)) = self.removed.pop_front()
         {
             self.changes_from = self.changes_from.max(at);
@@ -128,7 +128,7 @@
     }
 
     /// Forgets removals, so that peers with a version below `from` receive the full list.
-    pub(super) fn forget_changes(&mut self, from: u64) {
+    pub(super) fn discard_removals(&mut self, from: u64) {
         self.removed.clear();
         self.changes_from = from;
     }
@@ -144,7 +144,7 @@
     }
 }
 
-fn hash(server: &ListedServer) -> u64 {
+fn digest_term(server: &ListedServer) -> u64 {
     let mut buf = server.name.as_str().as_bytes().to_vec();
     buf.extend_from_slice(&server.started_ms.to_le_bytes());
     buf.extend_from_slice(server.address.as_bytes());
--- a/crates/core/src/store_read_policy.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -118,13 +118,13 @@
     }
 
     /// Returns the time until the next probe of the store after this many consecutive `failures`,
-    /// in milliseconds. `spread`, a random number from 0 to 1, keeps daemons that lost the store
+    /// in milliseconds. `jitter`, a random number from 0 to 1, keeps daemons that lost the store
     /// together from probing it together.
-    pub fn probe_interval(&self, failures: u32, spread: f64) -> Millis {
+    pub fn probe_interval(&self, failures: u32, jitter: f64) -> Millis {
         if self.is_reader() || failures < UNAVAILABLE_AFTER_FAILURES {
             return READER_PROBE_MS;
         }
         let (shortest, longest) = NON_READER_PROBE_RANGE_MS;
-        shortest + ((longest - shortest) as f64 * spread) as Millis
+        shortest + ((longest - shortest) as f64 * jitter) as Millis
     }
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -2,7 +2,7 @@
 
 /// How to handle one received chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SequenceCheck {
+pub enum ChunkAction {
     /// It is the next chunk: deliver it.
     Deliver,
     /// It was delivered before: drop it.
@@ -32,17 +32,17 @@
     }
 
     /// Checks a chunk by its run and offset; advances the position when it is the next one.
-    pub fn accept(&mut self, run: &str, offset: u64) -> SequenceCheck {
+    pub fn accept(&mut self, run: &str, offset: u64) -> ChunkAction {
         if run != self.run {
-            return SequenceCheck::WrongRun;
+            return ChunkAction::WrongRun;
         }
         if offset < self.next {
-            return SequenceCheck::Duplicate;
+            return ChunkAction::Duplicate;
         }
         if offset > self.next {
-            return SequenceCheck::Gap;
+            return ChunkAction::Gap;
         }
         self.next += 1;
-        SequenceCheck::Deliver
+        ChunkAction::Deliver
     }
 }
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -24,47 +24,48 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-struct Mark {
+struct WitnessRecord {
     opened: Tokens,
     closed: bool,
 }
 
 /// The records that this daemon keeps as a witness, by holder and budget.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct WitnessMarks {
-    marks: HashMap<Incarnation, HashMap<Name, Mark>>,
+pub struct WitnessRecords {
+    #[serde(rename = "marks")]
+    records: HashMap<Incarnation, HashMap<Name, WitnessRecord>>,
 }
 
-impl WitnessMarks {
+impl WitnessRecords {
     /// Records that `holder` opens its grant up to the cumulative sum `opened`; returns false,
     /// and records nothing, if the holder is closed.
     pub fn open(&mut self, holder: Incarnation, budget: &Name, opened: Tokens) -> bool {
-        let mark = self.mark(holder, budget);
-        if mark.closed {
+        let record = self.record(holder, budget);
+        if record.closed {
             return false;
         }
-        mark.opened = mark.opened.max(opened);
+        record.opened = record.opened.max(opened);
         true
     }
 
     /// Closes `holder` to further openings; returns the amount that it had opened here.
     pub fn close(&mut self, holder: Incarnation, budget: &Name) -> Tokens {
-        let mark = self.mark(holder, budget);
-        mark.closed = true;
-        mark.opened
+        let record = self.record(holder, budget);
+        record.closed = true;
+        record.opened
     }
 
     /// Returns the number of records.
     pub fn len(&self) -> usize {
-        self.marks.values().map(HashMap::len).sum()
+        self.records.values().map(HashMap::len).sum()
     }
 
     /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.records.is_empty()
     }
 
-    fn mark(&mut self, holder: Incarnation, budget: &Name) -> &mut Mark {
-        self.marks.entry(holder).or_default().entry(budget.clone()).or_default()
+    fn record(&mut self, holder: Incarnation, budget: &Name) -> &mut WitnessRecord {
+        self.records.entry(holder).or_default().entry(budget.clone()).or_default()
     }
 }
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -1,6 +1,6 @@
 //! Leaving servers and rest periods: what a daemon stores, and how the router applies it.
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::{Closed, LeavingFact, LeavingServers, RestPeriods};
 use bankcove_core::router::{LoadReport, Router, ServerView};
 use bankcove_core::table::{Server, Table};
@@ -10,11 +10,11 @@
 /// Longer than the retention time of unlisted starts.
 const LONG_MS: Millis = 3_600_000;
 
-fn start(name: &str, started_ms: Millis) -> ServerStart {
-    ServerStart { name: Name::from(name), started_ms }
+fn start(name: &str, started_ms: Millis) -> ServerInstance {
+    ServerInstance { name: Name::from(name), started_ms }
 }
 
-fn fact(server: &ServerStart, age_ms: Millis) -> LeavingFact {
+fn fact(server: &ServerInstance, age_ms: Millis) -> LeavingFact {
     LeavingFact { server: server.clone(), age_ms }
 }
 
@@ -61,9 +61,9 @@
 #[test]
 fn a_shorter_rest_does_not_end_a_longer_one() {
     let (mut rests, server) = (RestPeriods::default(), start("a", 7));
-    assert_eq!(rests.observe(1_000, &server, 5_000), Some(6_000));
-    assert_eq!(rests.observe(2_000, &server, 1_000), None);
-    assert_eq!(rests.observe(3_000, &server, 4_000), Some(7_000));
+    assert_eq!(rests.record(1_000, &server, 5_000), Some(6_000));
+    assert_eq!(rests.record(2_000, &server, 1_000), None);
+    assert_eq!(rests.record(3_000, &server, 4_000), Some(7_000));
     assert_eq!((rests.end(&server), rests.end(&start("a", 8))), (7_000, 0));
     rests.remove_expired(7_000, |_| true);
     assert!(rests.is_empty());
@@ -72,7 +72,7 @@
 #[test]
 fn an_endless_rest_lasts_until_the_start_is_unlisted() {
     let (mut rests, server) = (RestPeriods::default(), start("a", 7));
-    rests.observe(1_000, &server, Millis::MAX);
+    rests.record(1_000, &server, Millis::MAX);
     rests.remove_expired(LONG_MS, |_| true);
     assert_eq!(rests.end(&server), Millis::MAX);
     rests.remove_expired(LONG_MS, |_| false);
@@ -84,10 +84,10 @@
     let mut router = Router::default();
     let server = start("a", 7);
     assert_eq!(router.check_open(0, &server), Ok(()));
-    assert!(router.observe_rest(1_000, &server, 3_000));
+    assert!(router.record_rest(1_000, &server, 3_000));
     assert_eq!(router.check_open(1_500, &server), Err(Closed::Resting { left_ms: 2_500 }));
     assert_eq!(router.check_open(4_000, &server), Ok(()));
-    assert!(router.observe_leaving(5_000, &server).is_some());
+    assert!(router.record_leaving(5_000, &server).is_some());
     assert_eq!(router.check_open(LONG_MS, &server), Err(Closed::Leaving));
     assert_eq!(router.check_open(LONG_MS, &start("a", 8)), Ok(()));
 }
@@ -108,32 +108,32 @@
 fn an_engine_of_the_table_stays_leaving_until_a_load_report_with_another_start() {
     let (mut router, name) = (router_with_engine(), Name::from("a"));
     // The first response may arrive before the first load report.
-    router.observe_leaving(1_000, &start("a", 0));
+    router.record_leaving(1_000, &start("a", 0));
     router.record_load_report(2_000, &name, report(70));
     assert_eq!(router.check_open(2_000, &start("a", 70)), Err(Closed::Leaving));
     assert_eq!(router.check_open(2_000, &start("a", 0)), Err(Closed::Leaving));
     router.record_load_report(3_000, &name, report(70));
     assert!(
-        !router.is_current_and_staying(3_000, &name, 0),
+        !router.is_current_and_not_leaving(3_000, &name, 0),
         "a report without leaving changes nothing"
     );
     router.record_load_report(4_000, &name, report(90));
     assert_eq!(router.check_open(4_000, &start("a", 0)), Ok(()));
-    assert!(router.is_current_and_staying(4_000, &name, 0));
+    assert!(router.is_current_and_not_leaving(4_000, &name, 0));
 }
 
 #[test]
 fn leaving_is_kept_when_a_server_is_removed_from_the_table_and_added_again() {
     let (mut router, name) = (router_with_engine(), Name::from("a"));
     router.record_load_report(1_000, &name, report(70));
-    router.observe_leaving(2_000, &start("a", 70));
+    router.record_leaving(2_000, &start("a", 70));
     let rows = json!({"servers": []});
     let empty: Table = serde_json::from_value(rows).expect("a table");
     router.adopt(&empty);
     router.adopt(&Table { servers: table_of(&router_with_engine()), ..empty });
     router.record_load_report(3_000, &name, report(70));
     assert!(
-        !router.is_current_and_staying(3_000, &name, 0),
+        !router.is_current_and_not_leaving(3_000, &name, 0),
         "a lagging list restores no leaving start"
     );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use bankcove_core::holder::{Draw, DrawTerms, Holder, PrefetchScope, Reservation};
 use bankcove_core::owner::{Command, Event, HolderRef, Owner, Reply, Request, WRITE_INTERVAL_MS};
 use bankcove_core::shard::Shard;
-use bankcove_core::witness::{Witness, WitnessMarks};
+use bankcove_core::witness::{Witness, WitnessRecords};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
 pub const BUDGET: &str = "main";
@@ -50,7 +50,7 @@
     pub dead: Vec<bool>,
     owners: Vec<Owner>,
     holders: Vec<Holder>,
-    marks: Vec<WitnessMarks>,
+    marks: Vec<WitnessRecords>,
 }
 
 impl World {
@@ -63,7 +63,7 @@
             tokens,
             stored: (0, Shard::default()),
             dead: vec![false; daemons as usize],
-            marks: vec![WitnessMarks::default(); daemons as usize],
+            marks: vec![WitnessRecords::default(); daemons as usize],
             owners: (0..daemons).map(owner).collect(),
             holders: (0..daemons).map(|n| Holder::new(Incarnation(n))).collect(),
         }
@@ -196,7 +196,7 @@
                 match command {
                     Command::Load => events.push_back(self.load()),
                     Command::Write(version, shard) => events.push_back(self.write(version, shard)),
-                    Command::Gather(budget, holders) => {
+                    Command::Collect(budget, holders) => {
                         events.push_back(self.gather(owner, budget, &holders));
                     }
                     Command::Reply(_, reply) => return self.apply_reply(&request, reply),
@@ -254,7 +254,7 @@
             self.holders[owner].record_received(&budget, sender, sent);
         }
         let free = self.holders[owner].free(&budget);
-        Event::Gathered { budget, free, more_expected: false }
+        Event::Collected { budget, free, more_expected: false }
     }
 
     fn give(&mut self, owner: usize, draw: &Draw, most: Tokens, reply: Reply) -> Answer {
--- a/crates/core/tests/crash_fleet/simulation.rs
+++ b/crates/core/tests/crash_fleet/simulation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bankcove_core::crashes::{CRASHES_TO_BLOCK, CrashFacts, CrashTracker, ServerStart, Verdict};
+use bankcove_core::crashes::{CRASHES_TO_BLOCK, CrashFacts, CrashTracker, ServerInstance, Verdict};
 use bankcove_core::{Fingerprint, Millis, Name};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -257,7 +257,7 @@
         let server = &mut self.servers[number];
         server.available_at = self.now + RESTART_MS;
         let name = Name::from(format!("i-{number}"));
-        let start = ServerStart { name, started_ms: server.starts };
+        let start = ServerInstance { name, started_ms: server.starts };
         server.starts += 1;
         let runs = std::mem::take(&mut server.runs);
         if runs.iter().any(|run| run.request == FATAL) {
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -2,7 +2,7 @@
 
 use bankcove_core::crashes::{
     BLOCK_DURATION_MS, Block, CRASHES_TO_BLOCK, CrashFacts, CrashTracker, DECISION_DELAY_MS,
-    ServerStart, Verdict,
+    ServerInstance, Verdict,
 };
 use bankcove_core::{Fingerprint, Millis, Name};
 use yare::parameterized;
@@ -10,8 +10,8 @@
 const FATAL: Fingerprint = Fingerprint(1);
 const HARMLESS: Fingerprint = Fingerprint(2);
 
-fn server(number: u32) -> ServerStart {
-    ServerStart { name: Name::from(format!("i-{number}")), started_ms: 0 }
+fn server(number: u32) -> ServerInstance {
+    ServerInstance { name: Name::from(format!("i-{number}")), started_ms: 0 }
 }
 
 /// Records the crash of a server that was running these requests; returns the updates for peers.
@@ -75,7 +75,7 @@
 fn crashes_of_different_starts_of_a_server_count_separately() {
     let mut tracker = CrashTracker::default();
     for started_ms in 1..=3 {
-        let start = ServerStart { name: Name::from("i-1"), started_ms };
+        let start = ServerInstance { name: Name::from("i-1"), started_ms };
         tracker.record_disconnect(started_ms * 1_000, &start, FATAL);
         tracker.record_crash(started_ms * 1_000, &start);
     }
@@ -326,9 +326,9 @@
     there.merge(1_010, here.facts(1_010));
     assert_eq!(here.digest(1_020), there.digest(1_020));
     let later = 1_000 + 299_000;
-    here.forget_old(later);
+    here.remove_expired(later);
     assert_eq!(here.digest(later), 0);
-    there.forget_old(later + 2_000);
+    there.remove_expired(later + 2_000);
     assert!(there.is_empty());
     there.merge(later + 2_000, here.facts(later + 2_000));
     assert!(there.is_empty());
@@ -362,7 +362,7 @@
     assert_eq!(tracker.verdict(FATAL), Verdict::Blocked);
     tracker.lift(4_000, FATAL);
     let later = 400_000;
-    tracker.forget_old(later);
+    tracker.remove_expired(later);
     let facts = tracker.facts(later);
     assert!(facts.crashes.is_empty());
     assert_eq!(facts.cleared.len(), 1);
@@ -370,7 +370,7 @@
     let stale = Block { request: FATAL, age_ms: later - 2_000, servers: Vec::new() };
     tracker.merge(later, CrashFacts { blocks: vec![stale], ..CrashFacts::default() });
     assert_eq!(tracker.verdict(FATAL), Verdict::Allowed);
-    tracker.forget_old(BLOCK_DURATION_MS + later);
+    tracker.remove_expired(BLOCK_DURATION_MS + later);
     assert!(tracker.is_empty());
 }
 
--- a/crates/core/tests/holder.rs
+++ b/crates/core/tests/holder.rs
@@ -1,7 +1,7 @@
 //! The holder of one daemon: sealed and open grants, transfers, holdings.
 
 use bankcove_core::holder::Holder;
-use bankcove_core::witness::{Witness, WitnessMarks};
+use bankcove_core::witness::{Witness, WitnessRecords};
 use bankcove_core::{Incarnation, Name};
 
 fn budget() -> Name {
@@ -67,7 +67,7 @@
 
 #[test]
 fn closing_affects_one_holder_and_budget_only() {
-    let mut marks = WitnessMarks::default();
+    let mut marks = WitnessRecords::default();
     assert!(marks.open(Incarnation(1), &budget(), 40));
     assert_eq!(marks.close(Incarnation(1), &budget()), 40);
     assert!(!marks.open(Incarnation(1), &budget(), 50));
--- a/crates/core/tests/limit_header.rs
+++ b/crates/core/tests/limit_header.rs
@@ -28,7 +28,7 @@
     empty = { "" },
 )]
 fn a_value_that_is_not_a_rate_is_malformed(text: &str) {
-    assert_eq!(LimitHeader::parse([text]), LimitHeader::Malformed(text.to_owned()));
+    assert_eq!(LimitHeader::parse([text]), LimitHeader::Unreadable(text.to_owned()));
 }
 
 #[test]
--- a/crates/core/tests/limit_issuer.rs
+++ b/crates/core/tests/limit_issuer.rs
@@ -1,6 +1,6 @@
 //! Permits issued and held by one daemon: number, priority and retry delays.
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::limits::{
     ISSUERS_PER_SERVER, Issued, Issuer, IssuerPosition, Leases, PERMIT_LIFETIME_MS, PermitRequest,
     RequestRate, RetrySchedule,
@@ -8,8 +8,8 @@
 use bankcove_core::{Incarnation, Millis, Name};
 use yare::parameterized;
 
-fn server() -> ServerStart {
-    ServerStart { name: Name::from("i-1"), started_ms: 7 }
+fn server() -> ServerInstance {
+    ServerInstance { name: Name::from("i-1"), started_ms: 7 }
 }
 
 fn ask(
--- a/crates/core/tests/limit_tracker.rs
+++ b/crates/core/tests/limit_tracker.rs
@@ -1,11 +1,11 @@
 //! Order of limits received from a server, on one daemon and between daemons.
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::limits::{LimitFact, LimitHeader, LimitTracker, MAX_TRANSIT_MS, RequestRate};
 use bankcove_core::{Millis, Name};
 
-fn server(n: u64) -> ServerStart {
-    ServerStart { name: Name::from(format!("i-{n}")), started_ms: 7 }
+fn server(n: u64) -> ServerInstance {
+    ServerInstance { name: Name::from(format!("i-{n}")), started_ms: 7 }
 }
 
 fn rate(per_second: f64) -> Option<RequestRate> {
@@ -41,7 +41,7 @@
 #[test]
 fn a_malformed_header_neither_sets_nor_lifts_a_limit() {
     let mut tracker = tracker();
-    let malformed = LimitHeader::Malformed("many".to_owned());
+    let malformed = LimitHeader::Unreadable("many".to_owned());
     assert!(tracker.record_response(2_000, &server(1), 1_900, &malformed).is_none());
     assert!(tracker.record_response(2_000, &server(2), 1_900, &malformed).is_none());
     assert_eq!(tracker.limit(&server(1)), rate(2.0));
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_limit_applies_to_one_server_start() {
-    let later = ServerStart { started_ms: 8, ..server(1) };
+    let later = ServerInstance { started_ms: 8, ..server(1) };
     assert_eq!(tracker().limit(&later), None);
 }
 
@@ -100,7 +100,7 @@
         other.record_response(9_000, &server(n), 8_000, &header(1.0 + n as f64));
     }
     assert_eq!(one.digest(), other.digest());
-    one.forget_old(200_000, |_| false);
+    one.remove_expired(200_000, |_| false);
     assert_eq!((one.digest(), one.is_empty()), (0, true));
 }
 
@@ -116,6 +116,6 @@
     }
     assert_eq!(tracker.facts(20_000, usize::MAX, 0).len(), 10_000);
     assert_eq!(tracker.facts(20_000, 64, 9_990).len(), 64);
-    tracker.forget_old(20_000 + 70_000, |server| server.name.as_str() == "i-1");
+    tracker.remove_expired(20_000 + 70_000, |server| server.name.as_str() == "i-1");
     assert_eq!(tracker.facts(90_000, usize::MAX, 0).len(), 1);
 }
--- a/crates/core/tests/router.rs
+++ b/crates/core/tests/router.rs
@@ -339,7 +339,7 @@
     // The reporting daemon has been killed and sends no further report.
     router.merge_unread_report(2, &unread_report(9, 1, &first, MANY_TOKENS));
     assert_ne!(choose(&router, 2, 7, &[]), Some(first.clone()));
-    router.expire_unread_reports(5_000);
+    router.remove_expired_unread_reports(5_000);
     assert_eq!(choose(&router, 5_000, 7, &[]), Some(first));
 }
 
--- a/crates/core/tests/unavailable_servers.rs
+++ b/crates/core/tests/unavailable_servers.rs
@@ -1,7 +1,7 @@
 //! Property test of the choice among servers that are leaving, resting, cold, at their limits,
 //! ejected, in evacuated halls or outside the request's home regions, in any combination.
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::router::{Homes, NoServer, Router, RoutingRequest};
 use bankcove_core::table::{ServerState, Table};
 use bankcove_core::{Millis, Name};
@@ -54,16 +54,16 @@
     table
 }
 
-fn start(n: usize) -> ServerStart {
-    ServerStart { name: Name::from(format!("s{n}").as_str()), started_ms: 0 }
+fn start(n: usize) -> ServerInstance {
+    ServerInstance { name: Name::from(format!("s{n}").as_str()), started_ms: 0 }
 }
 
 fn apply(router: &mut Router, n: usize, condition: Condition) {
     let server = start(n);
     match condition {
         Condition::Available | Condition::Cold => {}
-        Condition::Leaving => drop(router.observe_leaving(NOW, &server)),
-        Condition::Resting(rest_ms) => drop(router.observe_rest(NOW, &server, rest_ms)),
+        Condition::Leaving => drop(router.record_leaving(NOW, &server)),
+        Condition::Resting(rest_ms) => drop(router.record_rest(NOW, &server, rest_ms)),
         Condition::AtLimit => router.block_for_rate_limit(&server, 1.0, NOW + 700),
         Condition::Ejected => {
             for _ in 0..3 {
@@ -114,7 +114,7 @@
                 let is_unavailable =
                     !matches!(conditions[n], Condition::Available | Condition::Ejected);
                 prop_assert!(!is_unavailable, "{:?}", conditions[n]);
-                prop_assert!(router.check_open(NOW, &choice.start()).is_ok());
+                prop_assert!(router.check_open(NOW, &choice.instance()).is_ok());
             }
             Err(why) => {
                 let available = (0..SERVERS)
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -133,12 +133,17 @@
 
 /// Records the signals in the head of a response.
 fn observe_response(api: &Api, choice: &Choice, sent_at: Millis, res: &Response) {
-    api.requests.hints.observe(&api.requests.base.log, &choice.start(), sent_at, &read_hints(res));
+    api.requests.hints.observe(
+        &api.requests.base.log,
+        &choice.instance(),
+        sent_at,
+        &read_hints(res),
+    );
 }
 
 /// Records the signals in the response to a control call, which has no rate limit header.
 fn observe_control_response(api: &Api, choice: &Choice, res: &Response) {
-    api.requests.hints.observe_closed(&api.requests.base.log, &choice.start(), &read_hints(res));
+    api.requests.hints.observe_closed(&api.requests.base.log, &choice.instance(), &read_hints(res));
 }
 
 /// Reads the signals of a server from the head of its response.
--- a/crates/daemon/src/api/delivery.rs
+++ b/crates/daemon/src/api/delivery.rs
@@ -10,7 +10,7 @@
 use bankcove_core::bill::Bill;
 use bankcove_core::hints::Closed;
 use bankcove_core::lifecycle::{Attempt, Dispatched};
-use bankcove_core::stream::{ChunkSequence, SequenceCheck};
+use bankcove_core::stream::{ChunkAction, ChunkSequence};
 use bankcove_core::{Millis, Name, Tokens};
 use bytes::Bytes;
 use reqwest::Response;
@@ -318,10 +318,10 @@
         };
         let offset = chunk.offset.unwrap_or(self.sequence.next());
         match self.sequence.accept(&chunk.id, offset) {
-            SequenceCheck::Deliver => self.deliver(&chunk, raw).await,
-            SequenceCheck::Duplicate => EventAction::Continue,
-            SequenceCheck::Gap => EventAction::Resume,
-            SequenceCheck::WrongRun => {
+            ChunkAction::Deliver => self.deliver(&chunk, raw).await,
+            ChunkAction::Duplicate => EventAction::Continue,
+            ChunkAction::Gap => EventAction::Resume,
+            ChunkAction::WrongRun => {
                 slog::warn!(self.log, "dropped chunk of another run"; "offset" => offset);
                 EventAction::Continue
             }
@@ -355,7 +355,7 @@
     let spent = if settlement.attached { 0 } else { tokens };
     let request = settlement.attempt.request;
     let attempt = settlement.attempt.id;
-    if tokens > settlement.attempt.limit() {
+    if tokens > settlement.attempt.max_cost() {
         slog::error!(settlement.log, "engine reported more tokens than the limit"; "tokens" => tokens);
     }
     let _finished = settlement.attempt.finish(&mut api.requests.budgets.holder(), Some(spent));
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use bankcove_core::holder::Holder;
 use bankcove_core::table::Table;
-use bankcove_core::witness::WitnessMarks;
+use bankcove_core::witness::WitnessRecords;
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 use bankcove_ports::Store;
 use parking_lot::Mutex;
@@ -60,7 +60,7 @@
     prefetches: Mutex<HashMap<Name, Prefetch>>,
     /// Holders that did not answer a collection, with the time until which they are skipped.
     pub unresponsive: Mutex<HashMap<Incarnation, Millis>>,
-    marks: Mutex<WitnessMarks>,
+    marks: Mutex<WitnessRecords>,
 }
 
 impl Budgets {
@@ -84,7 +84,7 @@
             last_short_draws: Mutex::new(HashMap::new()),
             prefetches: Mutex::new(HashMap::new()),
             unresponsive: Mutex::new(HashMap::new()),
-            marks: Mutex::new(WitnessMarks::default()),
+            marks: Mutex::new(WitnessRecords::default()),
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Locks and returns the records that this daemon keeps as a witness for other holders.
-    pub fn marks(&self) -> parking_lot::MutexGuard<'_, WitnessMarks> {
+    pub fn marks(&self) -> parking_lot::MutexGuard<'_, WitnessRecords> {
         self.marks.lock()
     }
 }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -101,7 +101,7 @@
         "asked" => answers.len(), "peers" => budgets.fleet.members.lock().usable().count(),
         "took_ms" => budgets.fleet.base.clock.now().saturating_sub(now));
     let more_expected = skipped || more_elsewhere || reserved > 0;
-    Event::Gathered { free, budget, more_expected }
+    Event::Collected { free, budget, more_expected }
 }
 
 /// Adds daemons that may hold tokens without a grant: those to which this daemon has sent tokens,
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -124,7 +124,7 @@
                         event(write(Arc::clone(budgets), self.shard, version, shard)),
                     );
                 }
-                Command::Gather(budget, holders) => {
+                Command::Collect(budget, holders) => {
                     send_result(&self.tx, event(gather(Arc::clone(budgets), budget, holders)));
                 }
                 Command::Reply(ticket, reply) => {
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -15,7 +15,8 @@
 use std::time::Duration;
 
 use bankcove_core::crashes::{
-    Block, CrashFacts, CrashStats, CrashTracker, DECISION_DELAY_MS, Placement, ServerStart, Verdict,
+    Block, CrashFacts, CrashStats, CrashTracker, DECISION_DELAY_MS, Placement, ServerInstance,
+    Verdict,
 };
 use bankcove_core::router::{Choice, Router};
 use bankcove_core::{Fingerprint, Millis};
@@ -121,10 +122,10 @@
     pub fn record_disconnect(self: &Arc<Self>, choice: &Choice, request: Fingerprint) {
         let now = self.fleet.base.clock.now();
         // A server that is leaving ends its running requests: that is not a crash.
-        if !self.router.lock().is_current_and_staying(now, &choice.server, choice.started_ms) {
+        if !self.router.lock().is_current_and_not_leaving(now, &choice.server, choice.started_ms) {
             return;
         }
-        let server = ServerStart { name: choice.server.clone(), started_ms: choice.started_ms };
+        let server = ServerInstance { name: choice.server.clone(), started_ms: choice.started_ms };
         let outcome = self.change(now, |tracker| tracker.record_disconnect(now, &server, request));
         let (needs_check, updates) = outcome;
         self.process_updates(&updates, Origin::Local);
--- a/crates/daemon/src/crashes/exchange.rs
+++ b/crates/daemon/src/crashes/exchange.rs
@@ -89,7 +89,7 @@
     pub fn forget_old(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
-            self.change(now, |tracker| tracker.forget_old(now));
+            self.change(now, |tracker| tracker.remove_expired(now));
         }
     }
 
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bankcove_core::Millis;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 
 use crate::base::tcp::{ProbeResult, probe_and_hold};
 use crate::crashes::{Crashes, Origin};
@@ -26,7 +26,7 @@
 const MAX_CHECK_MS: Millis = 5_000;
 
 /// Checks whether a disconnected server has crashed and records the result.
-pub(super) async fn verify(crashes: Arc<Crashes>, server: ServerStart, address: String) {
+pub(super) async fn verify(crashes: Arc<Crashes>, server: ServerInstance, address: String) {
     let has_crashed = has_crashed(&crashes, &server, &address).await;
     let now = crashes.fleet.base.clock.now();
     if has_crashed {
@@ -40,7 +40,7 @@
 
 /// Returns whether a server has crashed: it refuses connections, or its entry is gone from the
 /// server list. A server that is still in doubt after `MAX_CHECK_MS` counts as running.
-async fn has_crashed(crashes: &Crashes, server: &ServerStart, address: &str) -> bool {
+async fn has_crashed(crashes: &Crashes, server: &ServerInstance, address: &str) -> bool {
     let deadline = crashes.fleet.base.clock.now() + MAX_CHECK_MS;
     loop {
         match probe_and_hold(address, REACH_TIMEOUT, MIN_OPEN_TIME).await {
@@ -49,7 +49,7 @@
             ProbeResult::NoAnswer => {}
         }
         // The server is gone from the list, or another start of it is listed.
-        if !crashes.router.lock().is_current_start(&server.name, server.started_ms) {
+        if !crashes.router.lock().is_current_instance(&server.name, server.started_ms) {
             return true;
         }
         if crashes.fleet.base.clock.now() >= deadline || crashes.fleet.base.shutdown.is_cancelled()
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -101,7 +101,7 @@
     // Signals count only from this start of the server: another program, or another start, may
     // answer at its address.
     if !is_foreign && (head.is_signed || head.unrun == Some(Unrun::Full)) {
-        entry.requests.hints.observe(&call.log, &choice.start(), sent_at, &head.hints);
+        entry.requests.hints.observe(&call.log, &choice.instance(), sent_at, &head.hints);
     }
     if let Some(unrun) = head.unrun {
         charge.record_not_run(may_have_run_before);
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::HintFact;
 use bankcove_core::limits::{Issuer, Leases, LimitFact, LimitTracker, RetrySchedule};
 use bankcove_core::router::{AtLimit, NoServer, Resting, Router};
@@ -49,7 +49,7 @@
     /// Issuers that did not answer, and the times until which they are skipped.
     unresponsive: Mutex<HashMap<Name, Millis>>,
     /// Servers with a hint that could not be parsed, which is logged once for each server.
-    unreadable: Mutex<HashMap<ServerStart, String>>,
+    unreadable: Mutex<HashMap<ServerInstance, String>>,
     /// Set while limits are known; otherwise the common path skips the lock.
     has_limits: AtomicBool,
     /// Set while servers are leaving or resting; otherwise the common path skips the lock.
@@ -155,17 +155,17 @@
         self.membership_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
-            self.change_closed(|router| router.expire_closed(now));
+            self.change_closed(|router| router.remove_expired_hints(now));
         }
         if !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let listed: HashSet<ServerStart> = {
+        let listed: HashSet<ServerInstance> = {
             let router = self.router.lock();
-            router.servers().iter().map(|view| view.start()).collect()
+            router.servers().iter().map(|view| view.instance()).collect()
         };
-        self.change_limits(|limits| limits.forget_old(now, |server| listed.contains(server)));
-        let is_limited = |server: &ServerStart| self.limits.lock().limit(server).is_some();
+        self.change_limits(|limits| limits.remove_expired(now, |server| listed.contains(server)));
+        let is_limited = |server: &ServerInstance| self.limits.lock().limit(server).is_some();
         self.issuer.lock().retain(is_limited);
         self.leases.lock().retain(is_limited);
         self.unresponsive.lock().retain(|_, until| now < *until);
@@ -176,7 +176,7 @@
     pub fn dump(&self) -> Value {
         let now = self.fleet.base.clock.now();
         let facts = self.limits.lock().facts(now, usize::MAX, 0);
-        let levels: HashMap<ServerStart, (usize, f64)> = {
+        let levels: HashMap<ServerInstance, (usize, f64)> = {
             let issuer = self.issuer.lock();
             issuer.levels().map(|(server, rank, left)| (server.clone(), (rank, left))).collect()
         };
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use bankcove_core::Millis;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::{Hint, HintFact, LeavingFact, ServerHints};
 use bankcove_core::limits::{LimitChange, LimitFact, LimitHeader};
 use slog::Logger;
@@ -34,7 +34,7 @@
     pub fn observe(
         &self,
         log: &Logger,
-        server: &ServerStart,
+        server: &ServerInstance,
         sent_at: Millis,
         hints: &ServerHints,
     ) {
@@ -44,7 +44,7 @@
 
     /// Records only leaving and rest. It is used for responses that don't answer a request of a
     /// caller, which announce no limit.
-    pub fn observe_closed(&self, log: &Logger, server: &ServerStart, hints: &ServerHints) {
+    pub fn observe_closed(&self, log: &Logger, server: &ServerInstance, hints: &ServerHints) {
         match &hints.leaving {
             Hint::Absent => {}
             Hint::Given(()) => self.observe_leaving(server),
@@ -57,16 +57,16 @@
         }
     }
 
-    fn observe_leaving(&self, server: &ServerStart) {
+    fn observe_leaving(&self, server: &ServerInstance) {
         let now = self.fleet.base.clock.now();
-        if let Some(fact) = self.change_closed(|router| router.observe_leaving(now, server)) {
+        if let Some(fact) = self.change_closed(|router| router.record_leaving(now, server)) {
             self.apply_leaving(fact, Source::Server);
         }
     }
 
-    fn observe_rest(&self, log: &Logger, server: &ServerStart, rest_ms: Millis) {
+    fn observe_rest(&self, log: &Logger, server: &ServerInstance, rest_ms: Millis) {
         let now = self.fleet.base.clock.now();
-        if !self.change_closed(|router| router.observe_rest(now, server, rest_ms)) {
+        if !self.change_closed(|router| router.record_rest(now, server, rest_ms)) {
             return;
         }
         self.fleet.base.metrics.count("server.asks_for_rest");
@@ -74,8 +74,8 @@
             "server" => %server.name, "started_ms" => server.started_ms, "rest_ms" => rest_ms);
     }
 
-    fn observe_limit(&self, server: &ServerStart, sent_at: Millis, header: &LimitHeader) {
-        if let LimitHeader::Malformed(text) = header {
+    fn observe_limit(&self, server: &ServerInstance, sent_at: Millis, header: &LimitHeader) {
+        if let LimitHeader::Unreadable(text) = header {
             self.log_unreadable(server, "limit", text);
         }
         if *header == LimitHeader::Absent && !self.has_limits.load(Ordering::Relaxed) {
@@ -151,7 +151,7 @@
     }
 
     /// Logs and counts a hint that could not be parsed, once for each server.
-    fn log_unreadable(&self, server: &ServerStart, hint: &'static str, text: &str) {
+    fn log_unreadable(&self, server: &ServerInstance, hint: &'static str, text: &str) {
         let before = self.unreadable.lock().insert(server.clone(), text.to_owned());
         if before.is_none() {
             self.fleet.base.metrics.count("hint.unreadable");
--- a/crates/daemon/src/hints/permit.rs
+++ b/crates/daemon/src/hints/permit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bankcove_core::Millis;
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::Closed;
 use bankcove_core::limits::{ISSUERS_PER_SERVER, LimitFact, PermitRequest, RequestRate};
 use bankcove_core::members::Peer;
@@ -81,7 +81,7 @@
     fn drop(&mut self) {
         if let Some(until) = self.expires_at.take() {
             let now = self.hints.fleet.base.clock.now();
-            self.hints.leases.lock().give_back(now, &self.choice.start(), until);
+            self.hints.leases.lock().give_back(now, &self.choice.instance(), until);
         }
     }
 }
@@ -93,7 +93,7 @@
             return Ok(());
         }
         let now = self.fleet.base.clock.now();
-        let checked = self.router.lock().check_open(now, &choice.start());
+        let checked = self.router.lock().check_open(now, &choice.instance());
         if checked.is_err() {
             self.fleet.base.metrics.count("hint.not_sent");
         }
@@ -118,7 +118,7 @@
         if !self.has_limits.load(Ordering::Relaxed) {
             return Ok(self.unlimited_permit(choice));
         }
-        let server = choice.start();
+        let server = choice.instance();
         let now = self.fleet.base.clock.now();
         let fact = self.limits.lock().fact(now, &server);
         let Some((fact, limit)) = fact.and_then(|fact| fact.limit.map(|limit| (fact, limit)))
@@ -168,7 +168,7 @@
     fn take_issued(
         &self,
         requested_at: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         permits: u32,
     ) -> Option<Millis> {
         if permits == 0 {
@@ -184,7 +184,7 @@
     /// Stops sending to a server for `retry_ms`, because no permit was issued for it.
     fn block_at_limit(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         limit: RequestRate,
         retry_ms: Millis,
     ) -> AtLimit {
@@ -249,7 +249,7 @@
     }
 
     /// Returns the issuers of permits for the server, by rank; `None` stands for this daemon.
-    pub(super) fn issuers(&self, server: &ServerStart) -> Vec<Option<Peer>> {
+    pub(super) fn issuers(&self, server: &ServerInstance) -> Vec<Option<Peer>> {
         self.fleet.members.lock().owners_including_silent(server.key(), ISSUERS_PER_SERVER)
     }
 
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -196,7 +196,11 @@
 pub async fn send_heartbeats(membership: Arc<Membership>) {
     let interval = Duration::from_millis(membership.fleet.base.cfg.limits.heartbeat_ms);
     loop {
-        membership.view.router.lock().expire_unread_reports(membership.fleet.base.clock.now());
+        membership
+            .view
+            .router
+            .lock()
+            .remove_expired_unread_reports(membership.fleet.base.clock.now());
         membership.crashes.forget_old();
         membership.hints.forget_old();
         send_round(&membership).await;
