--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -1,4 +1,4 @@
-//! The cost of a request.
+//! Bills: what a request costs and which budget pays for it.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -1,7 +1,7 @@
 //! Detection and blocking of requests that crash backend servers.
 //!
 //! A caller may repeat such a request through any host, and each host sees only some of the
-//! attempts. Daemons therefore exchange facts: which server starts crashed, and which requests
+//! attempts. Daemons therefore exchange facts: which server instances crashed, and which requests
 //! each was running. Merging facts is idempotent, so a crash counts once however many daemons
 //! report it, and the same facts lead to the same verdict on every daemon: a request that was
 //! running on [`CRASHES_TO_BLOCK`] servers when they crashed is blocked everywhere.
--- a/crates/core/src/crashes/decision.rs
+++ b/crates/core/src/crashes/decision.rs
@@ -13,7 +13,8 @@
 use crate::{Fingerprint, Millis, Name};
 
 /// Number of crashes that block a request. One crash can have any cause, and two can happen to a
-/// caller that retries at a bad time; three without a success in between are very unlikely.
+/// caller that retries at a bad time; three without a success in between are very unlikely to be
+/// a coincidence.
 pub const CRASHES_TO_BLOCK: usize = 3;
 
 /// Number of crashes that block a request while another request has the same crashes.
@@ -23,8 +24,9 @@
 /// request with copies on all servers of a pool that fails at once has crashed none of them.
 const MIN_INCIDENTS: usize = 2;
 
-/// Time from the report of a crash to the decision, in milliseconds: a port that outlives its
-/// process is detected after about 130 ms, and facts reach 300 daemons in about 300 ms more.
+/// Time from the report of a crash to the decision, in milliseconds: a port that stays open
+/// after the end of its process is detected after about 130 ms, and facts reach 300 daemons in
+/// about 300 ms more.
 pub const DECISION_DELAY_MS: Millis = 600;
 
 /// Maximum number of servers that requests with the same crashes are spread over: each one costs
--- a/crates/core/src/crashes/facts.rs
+++ b/crates/core/src/crashes/facts.rs
@@ -8,17 +8,18 @@
 
 use crate::{Fingerprint, Millis, Name};
 
-/// One start of a backend server.
+/// One instance of a backend server: one run of its process. A restart makes a new instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerInstance {
     /// Name of the server.
     pub name: Name,
-    /// Time of this start, in milliseconds since 1970; 0 if unknown.
+    /// Time at which this instance was started, in milliseconds since 1970; 0 if unknown.
     pub started_ms: Millis,
 }
 
 impl ServerInstance {
-    /// Returns the rendezvous hashing key that selects the daemons responsible for this start.
+    /// Returns the rendezvous hashing key that selects the daemons responsible for this
+    /// instance.
     pub fn key(&self) -> u64 {
         xxh3_64(self.name.as_str().as_bytes()) ^ self.started_ms
     }
@@ -27,7 +28,7 @@
 /// Crash of a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Server start that crashed.
+    /// Server instance that crashed.
     pub server: ServerInstance,
     /// Time since its connections broke, in milliseconds.
     pub age_ms: Millis,
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -1,5 +1,5 @@
-//! Recent crashes, indexed by server and by request, and the evidence that they are against a
-//! request.
+//! Recent crashes, indexed by server instance and by request, and the evidence against a request
+//! that follows from them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,7 +11,7 @@
 const RETENTION_MS: Millis = 300_000;
 
 /// Maximum age of crashes that are sent to peers, in milliseconds. It is below the retention, so
-/// that a crash that one daemon has just dropped is not sent back by another.
+/// that a crash that one daemon has just removed is not sent back by another.
 const MAX_REPORTED_AGE_MS: Millis = RETENTION_MS - 10_000;
 
 /// Maximum number of crashes: about four minutes at one crash per second.
@@ -54,12 +54,12 @@
         self.crashes.len()
     }
 
-    /// Returns the number of facts dropped because of the size bounds.
+    /// Returns the number of crashes evicted and requests left out because of the size bounds.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Whether this server start is known to have crashed.
+    /// Whether this server instance is known to have crashed.
     pub(super) fn contains(&self, server: &ServerInstance) -> bool {
         self.crashes.contains_key(server)
     }
@@ -70,7 +70,7 @@
         self.by_request.get(&request).map_or(0, BTreeSet::len)
     }
 
-    /// Returns the requests that this server start was running when it crashed.
+    /// Returns the requests that this server instance was running when it crashed.
     pub(super) fn requests_of(&self, server: &ServerInstance) -> impl Iterator<Item = Fingerprint> {
         self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
     }
@@ -107,7 +107,7 @@
         new
     }
 
-    /// Drops crashes that are older than the retention.
+    /// Removes crashes that are older than the retention.
     pub(super) fn remove_expired(&mut self, now: Millis) {
         let is_expired = |crash: &CrashRecord| now.saturating_sub(crash.at) >= RETENTION_MS;
         let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
@@ -184,7 +184,7 @@
         is_near(later) && self.crashes.values().any(is_unrelated)
     }
 
-    /// Drops the oldest crashes while there are too many.
+    /// Evicts the oldest crashes while there are too many.
     fn evict_oldest(&mut self) {
         while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
--- a/crates/core/src/crashes/tracker.rs
+++ b/crates/core/src/crashes/tracker.rs
@@ -20,7 +20,8 @@
 /// Maximum number of cleared requests: those of about a hundred crashes.
 const MAX_CLEARED: usize = 4_000;
 
-/// Two reports of the same success may differ by their time in transit, in milliseconds.
+/// Largest difference between the times of two reports of the same success, in milliseconds: they
+/// differ by their time in transit.
 const SAME_SUCCESS_MS: Millis = 1_000;
 
 /// Decision on whether and where a request may run.
@@ -47,7 +48,7 @@
     pub crashes: usize,
     /// Number of blocked requests.
     pub blocks: usize,
-    /// Number of facts evicted for newer ones.
+    /// Number of facts evicted or left out because of the size bounds.
     pub dropped: u64,
 }
 
@@ -232,8 +233,8 @@
         self.blocked.iter().map(block).collect()
     }
 
-    /// Returns a hash of all facts that are sent to peers; 0 when there are none. Two daemons with
-    /// the same hash need not exchange facts.
+    /// Returns an order-independent hash of all facts that are sent to peers; 0 if there are none.
+    /// Two daemons with the same hash need not exchange facts.
     pub fn digest(&self, now: Millis) -> u64 {
         let mut sum = 0_u64;
         let mut add = |bytes: &[u8]| sum = sum.wrapping_add(xxh3_64(bytes));
@@ -251,7 +252,7 @@
         sum
     }
 
-    /// Drops expired crashes, blocks and clearances.
+    /// Removes expired crashes, blocks and clearances.
     pub fn remove_expired(&mut self, now: Millis) {
         self.history.remove_expired(now);
         self.blocked.retain(|_, blocked| now.saturating_sub(blocked.at) < BLOCK_DURATION_MS);
--- a/crates/core/src/edit.rs
+++ b/crates/core/src/edit.rs
@@ -18,7 +18,7 @@
     pub name: Name,
     /// Version of the row that the edit is based on; 0 for a new row.
     pub from_version: u64,
-    /// The new row as a whole; none removes it.
+    /// The complete new row; none removes the row.
     pub row: Option<Value>,
 }
 
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
 #[error("{sheet} '{row}', field '{field}': {problem}; {fix}")]
 pub struct RowFault {
-    /// Sheet of the row: halls, workspaces, budgets, servers or routes.
+    /// Sheet of the row: halls, workspaces, budgets, servers, routes or services.
     pub sheet: String,
     /// Name of the row.
     pub row: Name,
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,17 +1,19 @@
 //! Age of a daemon's table, server list and list of evacuated halls.
 //!
 //! A daemon that watches the store is current as of the store's last response. One that
-//! learns from peers is as current as the peer whose versions it has reached: as of now,
-//! less the age that the peer reported. A daemon whose view is too old reads the store
-//! itself, so that no daemon depends on peers that are cut off from the store.
+//! learns from peers is as current as the peer whose versions it has reached: as of the time
+//! of its request to that peer, less the age that the peer reported. A daemon whose view is
+//! too old reads the store itself, so that no daemon depends on peers that are cut off from
+//! the store.
 
 use serde::Serialize;
 
 use crate::Millis;
 
-/// Returns the time as of which a response of the store counts as current: its arrival, or the
-/// time of the request if it took longer than `longest_ms`. A host that was suspended meanwhile
-/// finds queued responses that are as old as the suspension and must not count as new.
+/// Returns the time as of which a response of the store counts as current: `received_at`, or
+/// `asked_at`, the time of the request, if the call took longer than `longest_ms`. A host that was
+/// suspended meanwhile finds queued responses that are as old as the suspension and must not count
+/// as new.
 pub fn answer_time(asked_at: Millis, received_at: Millis, longest_ms: Millis) -> Millis {
     if received_at.saturating_sub(asked_at) > longest_ms { asked_at } else { received_at }
 }
--- a/crates/core/src/hall_list.rs
+++ b/crates/core/src/hall_list.rs
@@ -48,7 +48,7 @@
         &self.evacuated
     }
 
-    /// Returns when this hall was last reopened; none if it was not evacuated before.
+    /// Returns when this hall was last reopened; none if this daemon has not seen it reopened.
     pub fn reopened_at(&self, hall: &Name) -> Option<Millis> {
         self.reopened_at.get(hall).copied()
     }
--- a/crates/core/src/hints.rs
+++ b/crates/core/src/hints.rs
@@ -1,4 +1,4 @@
-//! Signals that backend servers send in their response headers: limits, leaving, rest periods.
+//! Hints that backend servers send in their response headers: limits, leaving, rest periods.
 
 mod leaving;
 mod rest_periods;
@@ -13,11 +13,11 @@
 use crate::Millis;
 use crate::limits::{LimitFact, LimitHeader};
 
-/// Time for which a signal of an unlisted start of a server is kept, in milliseconds: longer
-/// than the lists of hosts that were cut off lag behind.
+/// Time for which a hint of an unlisted server instance is kept, in milliseconds: longer than the
+/// server list of a daemon that was cut off lags.
 const UNLISTED_RETENTION_MS: Millis = 600_000;
 
-/// Value of one signal in a response header.
+/// Value of one hint in a response header.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Hint<T> {
     /// The header is missing or has no effect.
@@ -29,7 +29,7 @@
     Unreadable(String),
 }
 
-/// All signals of one response.
+/// All hints of one response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServerHints {
     /// Requests per second that the server accepts from all daemons together.
@@ -40,7 +40,7 @@
     pub rest: Hint<Millis>,
 }
 
-/// A signal of a server, as daemons exchange it.
+/// A hint of a server, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HintFact {
     /// The server's limit.
@@ -78,8 +78,8 @@
     },
 }
 
-/// Parses the header values that mark a server as leaving: `1` is a mark, `0` is none; one mark
-/// among several values is enough.
+/// Parses the header values that mark a server as leaving: `1` means that it is leaving, `0` that
+/// it is not; one `1` among several values is enough.
 pub fn read_leaving<'a>(values: impl IntoIterator<Item = &'a str>) -> Hint<()> {
     let mut hint = Hint::Absent;
     for text in values.into_iter().flat_map(|value| value.split(',')).map(str::trim) {
--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -1,6 +1,6 @@
-//! Server starts that have announced that they are leaving.
+//! Server instances that have announced that they are leaving.
 //!
-//! The announcement is final: only a later start of the server accepts requests again.
+//! The announcement is final: only a later instance of the server accepts requests again.
 
 use std::collections::HashMap;
 
@@ -11,30 +11,30 @@
 use crate::crashes::ServerInstance;
 use crate::hints::UNLISTED_RETENTION_MS;
 
-/// A server start that has announced that it is leaving.
+/// A server instance that has announced that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingFact {
-    /// The server.
+    /// The server instance.
     pub server: ServerInstance,
     /// Time since its first announcement, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// The leaving server starts that one daemon knows.
+/// The leaving server instances that one daemon knows.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingServers {
-    /// Time of the first announcement of each start.
+    /// Time of the first announcement of each instance.
     known: HashMap<ServerInstance, Millis>,
     digest: u64,
 }
 
 impl LeavingServers {
-    /// Whether this start is leaving.
+    /// Whether this instance is leaving.
     pub fn contains(&self, server: &ServerInstance) -> bool {
         self.known.contains_key(server)
     }
 
-    /// Adds a start that announced `age_ms` ago that it is leaving; returns whether it is new.
+    /// Adds an instance that announced `age_ms` ago that it is leaving; returns whether it is new.
     pub fn add(&mut self, now: Millis, server: &ServerInstance, age_ms: Millis) -> bool {
         if self.contains(server) {
             return false;
@@ -44,7 +44,7 @@
         true
     }
 
-    /// Merges facts from a peer; returns the new ones. An unlisted start that is old enough to
+    /// Merges facts from a peer; returns the new ones. An unlisted instance that is old enough to
     /// be removed by [`LeavingServers::remove_expired`] is not added again.
     pub fn merge(
         &mut self,
@@ -58,7 +58,7 @@
         kept.filter(|fact| self.add(now, &fact.server, fact.age_ms)).cloned().collect()
     }
 
-    /// Returns up to `max_count` starts, beginning at position `offset` and wrapping around.
+    /// Returns up to `max_count` instances, beginning at position `offset` and wrapping around.
     pub fn facts(&self, now: Millis, max_count: usize, offset: usize) -> Vec<LeavingFact> {
         let first = offset % self.known.len().max(1);
         let rotated = self.known.iter().skip(first).chain(self.known.iter().take(first));
@@ -74,12 +74,12 @@
         self.known.is_empty()
     }
 
-    /// Returns the order-independent hash of all starts; 0 if there are none.
+    /// Returns an order-independent hash of all instances; 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Removes starts that are unlisted and were announced at least 600 s ago.
+    /// Removes instances that are unlisted and announced at least 600 s ago that they are leaving.
     pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerInstance) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, at| {
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -12,15 +12,15 @@
     until: Millis,
 }
 
-/// The rest period of each server, by this daemon's clock.
+/// The rest period of each server instance, by this daemon's clock.
 #[derive(Debug, Clone, Default)]
 pub struct RestPeriods {
     known: HashMap<ServerInstance, RestPeriod>,
 }
 
 impl RestPeriods {
-    /// Records that a server requests a rest of `rest_ms` from now. Returns the new end if it is
-    /// later than the known one: a shorter rest does not end a longer one.
+    /// Records that a server instance requests a rest of `rest_ms` from now. Returns the new end if
+    /// it is later than the known one: a shorter rest does not end a longer one.
     pub fn record(
         &mut self,
         now: Millis,
@@ -37,7 +37,7 @@
         Some(until)
     }
 
-    /// Returns the end of this start's last rest period, which may be in the past; 0 if it has
+    /// Returns the end of this instance's last rest period, which may be in the past; 0 if it has
     /// none.
     pub fn end(&self, server: &ServerInstance) -> Millis {
         self.known.get(server).map_or(0, |rest| rest.until)
--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -30,8 +30,9 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// A holder draws when it has less than this fraction of its prefetch target. 0.8 with a
-/// shorter horizon refused as many requests in network cuts and after power losses.
+/// A holder draws when it has less than this fraction of its prefetch target. With a fraction
+/// of 0.8 and a shorter horizon, as many requests were refused in network cuts and after power
+/// losses.
 const LOW_FRACTION: f64 = 0.5;
 
 /// Time after the first reservation, in milliseconds, from which the measured rates
@@ -80,7 +81,7 @@
 pub struct Holder {
     incarnation: Incarnation,
     accounts: HashMap<Name, Account>,
-    /// Rate of tokens that requests reserved here or lacked at other daemons, all budgets.
+    /// Rate of tokens, over all budgets, that requests reserved here or lacked at other daemons.
     asked_for: Rate,
     /// Rate of those requests.
     requests: Rate,
--- a/crates/core/src/holder/account.rs
+++ b/crates/core/src/holder/account.rs
@@ -63,8 +63,8 @@
     #[serde(rename = "handed_on")]
     pub(super) allotted_rate: Rate,
     /// Tokens that an owner reserves for other daemons until spending is known. They are
-    /// allotted only to cover a need: allotted ahead too, a few daemons had all of them when
-    /// the others asked.
+    /// allotted only to cover a need: when they were also allotted ahead, a few daemons had all
+    /// of them by the time the others requested some.
     pub(super) kept_for_needs: Tokens,
     /// Tokens that other daemons requested ahead since the last draw and did not receive.
     pub(super) unmet: Tokens,
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -23,8 +23,8 @@
 
 /// Fraction of the whole budget below which the prefetched part of the rest decreases.
 /// Without the decrease (0), fewer than a quarter of the requests were served 15 s after
-/// all processes were lost, on one of five seeds of a day with a third of the budget left
-/// by then.
+/// all processes were lost, in one of five simulated days (different seeds) with a third of
+/// the budget left by then.
 const TAPER_BELOW_FRACTION: f64 = 0.3;
 
 /// Tokens of a budget that stay with the store for each one that all holders together
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -7,7 +7,7 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
 
-/// Settings of a budget's row, and the daemon's part in it, that a draw carries.
+/// Settings of a budget's row that a draw carries, and the drawing daemon's role for the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DrawTerms {
     /// Tokens that the budget's row allows.
--- a/crates/core/src/holder/prefetch.rs
+++ b/crates/core/src/holder/prefetch.rs
@@ -36,7 +36,8 @@
     ForItself,
     /// For the whole fleet, as the owner of the budget's shard in a large fleet.
     ForFleet,
-    /// Only for the next moments: in a large fleet the budget's owner prefetches for it.
+    /// For a few seconds of its own spending only: in a large fleet the budget's owner
+    /// prefetches for it.
     LeftToOwner,
 }
 
@@ -87,7 +88,7 @@
     }
 
     /// Returns the smallest surplus that is worth a call to give it back now. What a request
-    /// leaves over is less than the mean request and may serve the next one here; near the
+    /// leaves unused is less than the mean request and may serve the next one here; near the
     /// budget's end all of it is missing elsewhere.
     fn min_returned(&self, terms: &DrawTerms, mean_request: Tokens, now: Millis) -> Tokens {
         if terms.prefetch != PrefetchScope::LeftToOwner || self.rate.idle_ms(now) >= IDLE_RETURN_MS
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -33,9 +33,9 @@
     pub ration_s: f64,
 }
 
-/// Factor by which the free tokens count during an outage of the store. The outage is as
-/// likely as not to end within the time that it has lasted; without the factor more is
-/// refused than is missing at its end.
+/// Factor applied to the free tokens during an outage of the store. An outage is as likely
+/// as not to end within the time that it has already lasted; without the factor, requests
+/// are refused for tokens that are still unused when it ends.
 const OUTAGE_FACTOR: Tokens = 2;
 
 impl Holder {
--- a/crates/core/src/holder/statement.rs
+++ b/crates/core/src/holder/statement.rs
@@ -36,14 +36,17 @@
     pub reserved: Tokens,
     /// Unspent tokens held by daemons that answered.
     pub held: Tokens,
-    /// Tokens kept by incarnations that have ended: spent, or lost with them.
+    /// Tokens kept by incarnations that have ended: spent, or lost with them. Can be
+    /// negative: with tokens that others had sent them, they may have returned or spent more
+    /// than they were granted.
     pub ended: i64,
     /// Tokens granted to incarnations that did not answer: spent, held or lost there.
     #[serde(rename = "silent")]
     pub unanswered: Tokens,
     /// The remainder: tokens in transit between daemons and the store, or allotted to a daemon
-    /// that did not answer. Negative when tokens moved on, to the store or to another daemon,
-    /// after their holder had answered.
+    /// that did not answer. Negative when tokens are counted twice: a daemon reported them as
+    /// held and then returned them to the store before the ledger was read, or sent them to a
+    /// daemon that reported later.
     #[serde(rename = "on_the_way")]
     pub in_transit: i64,
     /// Reports of the daemons that have any tokens of it.
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,5 @@
-//! Identifiers of process starts, requests and attempts.
+//! Identifiers of daemon incarnations, requests and attempts, and the hashes that assign keys to
+//! shards and owners.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +10,7 @@
 
 use crate::Name;
 
-/// Identifier of one start of a daemon; a restart is a new incarnation.
+/// Identifier of one run of a daemon process; each start of the daemon is a new incarnation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -27,9 +28,9 @@
 /// Identifier of one attempt of a daemon to serve a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Daemon start that made the attempt.
+    /// Incarnation of the daemon that made the attempt.
     pub incarnation: Incarnation,
-    /// Number of the attempt within that start.
+    /// Number of the attempt within that incarnation.
     pub sequence: u64,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns the index of the shard, out of `count`, that holds the item called `name`.
+/// Returns the index of the shard, out of `count`, that holds the item named `name`.
 pub fn shard_of_name(name: &Name, count: u32) -> u32 {
     (xxh3_64(name.as_str().as_bytes()) % u64::from(count)) as u32
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -37,7 +37,8 @@
 pub use id::{AttemptId, Fingerprint, Incarnation, RequestHash};
 pub use name::Name;
 
-/// Milliseconds since an arbitrary fixed time, on the clock of the caller.
+/// A duration in milliseconds, or a time in milliseconds since an arbitrary fixed time of the
+/// caller's clock.
 pub type Millis = u64;
 
 /// Number of language model tokens, the unit of every budget.
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -92,7 +92,7 @@
 }
 
 impl Attempt<Admitted> {
-    /// Returns the maximum cost.
+    /// Returns the maximum cost, which is reserved, in tokens.
     pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
@@ -110,7 +110,7 @@
 }
 
 impl Attempt<Dispatched> {
-    /// Returns the maximum cost.
+    /// Returns the maximum cost, which is reserved, in tokens.
     pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
--- a/crates/core/src/limits/issuer.rs
+++ b/crates/core/src/limits/issuer.rs
@@ -31,8 +31,8 @@
 /// milliseconds: its predecessor may continue until it learns of the change in membership.
 const HANDOVER_MS: Millis = 4_000;
 
-/// Retry delay for a daemon that asked a daemon which is not an issuer, in milliseconds: by then
-/// heartbeats have updated its membership.
+/// Retry delay for a daemon that requested permits from a daemon that is not an issuer, in
+/// milliseconds: by then heartbeats have updated its membership.
 const NOT_ISSUER_RETRY_MS: Millis = 500;
 
 /// Burst of the first issuer, in permits, so that unevenly spaced requests can use the whole
@@ -85,7 +85,7 @@
     pub retry_ms: Millis,
 }
 
-/// Token bucket for one server start.
+/// Token bucket for one server instance.
 #[derive(Debug, Clone)]
 struct Bucket {
     permits: f64,
@@ -102,7 +102,7 @@
     less_urgent_served_at: Millis,
 }
 
-/// Token buckets of one daemon, by server start.
+/// Token buckets of one daemon, by server instance.
 #[derive(Debug, Clone, Default)]
 pub struct Issuer {
     buckets: HashMap<ServerInstance, Bucket>,
@@ -131,7 +131,7 @@
         Issued { permits, retry_ms }
     }
 
-    /// Drops the buckets of servers for which `is_limited` is false.
+    /// Removes the buckets of servers for which `is_limited` is false.
     pub fn retain(&mut self, is_limited: impl Fn(&ServerInstance) -> bool) {
         self.buckets.retain(|server, _| is_limited(server));
     }
@@ -143,7 +143,8 @@
 }
 
 impl Bucket {
-    /// Creates an empty bucket, because it is unknown what an earlier start of this daemon issued.
+    /// Creates an empty bucket, because it is unknown what an earlier incarnation of this
+    /// daemon issued.
     fn new(now: Millis, position: IssuerPosition) -> Self {
         Bucket {
             permits: 0.0,
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -13,7 +13,7 @@
 /// Time for which permits are considered scarce after a denial, in milliseconds.
 const SCARCE_MS: Millis = 10_000;
 
-/// Permits for one server start, with a common expiry time.
+/// Permits for one server instance, with a common expiry time.
 #[derive(Debug, Clone, Copy, Default)]
 struct Lease {
     permits: u32,
@@ -25,7 +25,7 @@
     denied_at: Option<Millis>,
 }
 
-/// Permits of one daemon, by server start.
+/// Permits of one daemon, by server instance.
 #[derive(Debug, Clone, Default)]
 pub struct Leases {
     leases: HashMap<ServerInstance, Lease>,
@@ -95,7 +95,7 @@
         lease.map_or(0, |lease| lease.permits)
     }
 
-    /// Drops the leases of servers for which `is_limited` is false.
+    /// Removes the leases of servers for which `is_limited` is false.
     pub fn retain(&mut self, is_limited: impl Fn(&ServerInstance) -> bool) {
         self.leases.retain(|server, _| is_limited(server));
     }
--- a/crates/core/src/limits/tracker.rs
+++ b/crates/core/src/limits/tracker.rs
@@ -21,10 +21,10 @@
 /// messages are in transit and server lists lag.
 const RETENTION_MS: Millis = 60_000;
 
-/// Limit announced in a response of one server start.
+/// Limit announced in a response of one server instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitFact {
-    /// Server start that sent the response.
+    /// Server instance that sent the response.
     pub server: ServerInstance,
     /// Announced limit; `None` when the server has no limit any more.
     pub limit: Option<RequestRate>,
@@ -45,7 +45,7 @@
     pub fact: LimitFact,
 }
 
-/// Limit of one server start, with the times of the request and of the response.
+/// Limit of one server instance, with the times of the request and of the response.
 #[derive(Debug, Clone, Copy)]
 struct KnownLimit {
     limit: Option<RequestRate>,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Limits that one daemon knows, by server start.
+/// Limits that one daemon knows, by server instance.
 #[derive(Debug, Clone, Default)]
 pub struct LimitTracker {
     known: HashMap<ServerInstance, KnownLimit>,
@@ -137,12 +137,12 @@
         Some(LimitChange { before, fact: update.fact(now, server) })
     }
 
-    /// Returns the limit of this server start.
+    /// Returns the limit of this server instance.
     pub fn limit(&self, server: &ServerInstance) -> Option<RequestRate> {
         self.known.get(server)?.limit
     }
 
-    /// Returns what is known of this server start, for peers.
+    /// Returns what is known of this server instance, for peers.
     pub fn fact(&self, now: Millis, server: &ServerInstance) -> Option<LimitFact> {
         self.known.get(server).map(|known| known.fact(now, server))
     }
@@ -154,18 +154,18 @@
         rotated.take(max_count).map(|(server, known)| known.fact(now, server)).collect()
     }
 
-    /// Whether no server has a limit or has had one recently.
+    /// Whether no limit is stored, neither one in force nor a lifted one.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Returns a hash of all limits in force, equal on all daemons that know the same limits;
-    /// 0 when there are none.
+    /// Returns an order-independent hash of all limits in force, equal on all daemons that know the
+    /// same limits; 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Drops limits that were lifted long ago and servers that are no longer listed.
+    /// Removes lifted limits and the limits of unlisted servers when their retention has ended.
     pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(&ServerInstance) -> bool) {
         let digest = &mut self.digest;
         self.known.retain(|server, known| {
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -74,7 +74,7 @@
     pub name: Name,
     /// The sender's hall.
     pub hall: Name,
-    /// The sender's start.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// Address of the sender's peer port.
     pub address: String,
@@ -95,7 +95,7 @@
     pub paces: Vec<ServerPace>,
     /// Hash of the sender's crash records, as [`crate::crashes::CrashTracker::digest`].
     pub crashes_digest: u64,
-    /// Hash of the server signals known to the sender, from
+    /// Hash of the server hints known to the sender, from
     /// [`crate::limits::LimitTracker::digest`] and [`crate::hints::LeavingServers::digest`].
     pub hints_digest: u64,
 }
@@ -111,13 +111,14 @@
     pub hall: Name,
     /// Address of its peer port.
     pub address: String,
-    /// Its start; none before its first message.
+    /// Its incarnation; none before its first message.
     pub incarnation: Option<Incarnation>,
     /// Latest revision of the table that it has reported.
     pub revision: u64,
     /// Whether it is a member, by the platform's list or by its own heartbeats.
     pub listed: bool,
-    /// Whether the platform's list has contained it since its current start.
+    /// Whether the platform's list has contained it since this daemon learned of its current
+    /// incarnation.
     pub was_on_list: bool,
     /// Whether it is stopping, by the list or by its own heartbeats.
     pub stopping: bool,
@@ -133,8 +134,8 @@
         self.listed && !self.stopping && self.failures < SUSPECT_AFTER_FAILURES
     }
 
-    /// Records which start of the peer is running; on a restart, resets what was known of the
-    /// earlier start.
+    /// Records which incarnation of the peer is running; after a restart, resets what was known
+    /// of the earlier one.
     fn set_incarnation(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
@@ -166,7 +167,7 @@
     /// too.
     #[serde(rename = "WithoutMe")]
     WithoutSelf,
-    /// The list contains this daemon, from an earlier start or from the current one.
+    /// The list contains this daemon, in an earlier or in the current incarnation.
     #[serde(rename = "WithMe")]
     WithSelf,
 }
@@ -212,8 +213,8 @@
         }
     }
 
-    /// Returns the hash of the set of members, whether or not they answer; equal on all daemons
-    /// that know the same members.
+    /// Returns an order-independent hash of the members, whether or not they answer; equal on all
+    /// daemons that know the same members.
     pub fn digest(&self) -> u64 {
         let active = self.peers.values().filter(|peer| peer.listed && !peer.stopping);
         active.fold(self.my_key, |digest, peer| digest ^ peer.key)
@@ -264,8 +265,9 @@
         peer.heard_at = Some(now);
     }
 
-    /// Records which start of a peer has answered a call: in a large fleet most peers exchange
-    /// no heartbeats with this daemon, and tokens returned to a peer have to name its start.
+    /// Records which incarnation of a peer has answered a call: in a large fleet most peers
+    /// exchange no heartbeats with this daemon, and a return of tokens to a peer has to name the
+    /// peer's incarnation.
     pub fn record_answer(&mut self, name: &Name, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.set_incarnation(incarnation);
--- a/crates/core/src/outage.rs
+++ b/crates/core/src/outage.rs
@@ -23,8 +23,8 @@
 /// do not all request the tokens that have become available at the same time.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// Longest retry delay before jitter, in milliseconds. Callers with a deadline of 15 s wait for
-/// a third of it at most.
+/// Longest retry delay before jitter, in milliseconds. It leaves a third of a deadline of 15 s for
+/// the retry.
 const MAX_RETRY_MS: f64 = 10_000.0;
 
 /// Shortest and longest retry delay, before jitter, of a daemon that has started and has no
--- a/crates/core/src/owner/collection.rs
+++ b/crates/core/src/owner/collection.rs
@@ -52,7 +52,7 @@
 }
 
 impl Collections {
-    /// Returns an instance that never collects, as a baseline for comparison.
+    /// Returns a state that never starts a collection, as a baseline for comparison.
     pub(super) fn disabled() -> Self {
         Collections { disabled: true, ..Collections::default() }
     }
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -101,7 +101,8 @@
             copy_from: None,
         };
         let busy = self.servers.iter().filter(|view| view.reports_load && view.in_flight > 0);
-        // Half of the round goes to the others, so that no report stays old for ever.
+        // Servers with open requests come first in only half of the places, rounded up, so that the
+        // reports of the others are renewed too.
         let mut asked: Vec<Choice> = busy.take(max.div_ceil(2)).map(choice).collect();
         let mut next = offset;
         for step in 0..count {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Removes what peers reported too long ago.
+    /// Removes peers' expired reports of unread tokens.
     pub fn remove_expired_unread_reports(&mut self, now: Millis) {
         for part in self.peer_unread.take_expired(now) {
             self.subtract_unread(&part);
--- a/crates/core/src/router/closed_servers.rs
+++ b/crates/core/src/router/closed_servers.rs
@@ -66,7 +66,9 @@
         is_longer
     }
 
-    /// Removes leaving server instances that are no longer listed, and rests that have ended.
+    /// Removes the leaving server instances and the rests that have expired, as
+    /// [`crate::hints::LeavingServers::remove_expired`] and
+    /// [`crate::hints::RestPeriods::remove_expired`] define it.
     pub fn remove_expired_hints(&mut self, now: Millis) {
         let listed = ListedInstances { servers: &self.servers, by_name: &self.by_name };
         self.leaving.remove_expired(now, |server| listed.contains(server));
--- a/crates/core/src/router/prefill.rs
+++ b/crates/core/src/router/prefill.rs
@@ -23,8 +23,8 @@
 const SHORTER_WEIGHT: f64 = 0.005;
 
 /// Multiple of the pool's mean event interval above which a server counts as slower.
-/// The speeds of users' servers are equal or differ by a factor of 1.3; concurrent streams
-/// account for about 0.1.
+/// The speeds of users' servers are equal or differ by a factor of 1.3; different numbers of
+/// concurrent streams account for about 0.1.
 const SLOW_SERVER_FACTOR: f64 = 1.08;
 
 /// Unread tokens that a server may have above its share, in mean prompts. With 4
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -175,8 +175,8 @@
         !self.is_leaving(now) && now >= self.ejected_until && self.in_flight < self.limit
     }
 
-    /// Returns whether the server rejects this request during slow start: the share of accepted
-    /// requests grows linearly over [`SLOW_START_MS`]. `seed` is random.
+    /// Returns whether slow start keeps this request from the server: the share of requests that it
+    /// gets grows linearly over [`SLOW_START_MS`]. `seed` is random.
     pub(super) fn is_shed_by_slow_start(&self, now: Millis, seed: u64) -> bool {
         let ejected_until = (self.ejections > 0).then_some(self.ejected_until);
         let rested_until = (self.rests_until > 0).then_some(self.rests_until);
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -26,9 +26,9 @@
 /// One backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedServer {
-    /// The server's name; a later start of the server may have the same one.
+    /// The server's name; a later instance of the server may have the same one.
     pub name: Name,
-    /// Time of this start, in milliseconds since 1970; 0 if unknown.
+    /// Time at which this instance was started, in milliseconds since 1970; 0 if unknown.
     #[serde(default)]
     pub started_ms: Millis,
     /// The service that it belongs to.
@@ -66,7 +66,7 @@
 pub struct RemovedServer {
     /// The server.
     pub name: Name,
-    /// The start that the entry described, as [`ListedServer::started_ms`].
+    /// Start time of the instance in the entry, as [`ListedServer::started_ms`].
     pub started_ms: Millis,
 }
 
@@ -124,8 +124,8 @@
 
 impl Entry {
     /// Merges this entry, received from a peer, with the local one. The local entry wins if it
-    /// describes a later start, or the same start at a later version. A later start that is
-    /// unknown to the peer inherits the drop time of the earlier one.
+    /// describes a later instance, or the same instance at a later version. A later instance that
+    /// is unknown to the peer inherits the drop time of the earlier one.
     fn merged_with(self, known: Option<&Entry>) -> Entry {
         let Some(known) = known else { return self };
         let is_read_since = known.changed_at > self.changed_at;
@@ -212,7 +212,7 @@
                 Some(known) if known == gone.started_ms => {
                     changed |= self.remove(now, at, gone.clone());
                 }
-                // No grace period: the known start ended before the removed one.
+                // No grace period: the known instance ended before the removed one.
                 Some(known) if known < gone.started_ms => {
                     changed |= self.remove_now(at, gone.clone());
                 }
@@ -350,7 +350,7 @@
     }
 
     /// Removes an entry at once; returns whether it was known. The removal is recorded with the
-    /// start in `gone`, since peers may know a later start than this daemon.
+    /// start time in `gone`, since peers may know a later instance than this daemon.
     fn remove_now(&mut self, at: u64, gone: RemovedServer) -> bool {
         let is_known = self.entries.remove(&gone.name).is_some();
         if is_known {
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -8,8 +8,8 @@
 use super::{Entry, ListVersion, ListedServer, RemovedServer, ServerList, SharedServer};
 use crate::Millis;
 
-/// Maximum number of remembered removals: some 60 bytes each, and more than half of 10,000
-/// servers are replaced in a release.
+/// Maximum number of recorded removals: some 60 bytes each, and enough for a release, which
+/// replaces more than half of 10,000 servers.
 const MAX_RECORDED_REMOVALS: usize = 8_192;
 
 /// An update of the list from a peer.
@@ -59,7 +59,8 @@
         Some((self.version, update))
     }
 
-    /// Returns the order-independent hash of all entries that are not in their grace period.
+    /// Returns an order-independent hash of all entries that are not in their grace period; 0 if
+    /// there are none.
     pub fn digest(&self) -> u64 {
         let registered = self.entries.values().filter(|entry| entry.dropped_at.is_none());
         registered.fold(0, |sum, entry| sum ^ digest_term(&entry.server))
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Forgets removals, so that peers with a version below `from` receive the full list.
+    /// Discards the recorded removals: peers with a version below `from` now receive the full
+    /// list.
     pub(super) fn discard_removals(&mut self, from: u64) {
         self.removed.clear();
         self.changes_from = from;
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -122,9 +122,9 @@
 
     /// Returns the number of tokens that one holder may keep in advance. It is limited so
     /// that the store keeps a multiple of what all holders have together ([`held_fraction`]):
-    /// lost holders then take few tokens with them, and a holder that runs out can draw
-    /// more. A holder that spends more may keep more, because callers are not spread
-    /// evenly over the daemons.
+    /// few tokens are then lost with a holder, and a holder that runs out can draw more.
+    /// A holder that spends more may keep more, because callers are not spread evenly over
+    /// the daemons.
     ///
     /// The number of daemons is taken from `terms`, because the grants of daemons that no
     /// longer exist remain in the ledger. A holder that keeps tokens for the whole fleet
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -103,7 +103,7 @@
     /// A daemon draws at most 1/`share_divisor` of what is not yet granted.
     #[serde(default = "default_share_divisor")]
     pub share_divisor: u64,
-    /// Fraction of an equal share that each daemon has_key at least, 0 to 1. A higher value
+    /// Fraction of an equal share that each daemon holds at least, 0 to 1. A higher value
     /// leaves more tokens usable during a store outage, and loses more with a crashed host.
     #[serde(default = "default_held_ahead")]
     pub held_ahead: f64,
@@ -139,6 +139,7 @@
     fn name(&self) -> &Name;
     /// Returns the table revision that last wrote the row.
     fn version(&self) -> u64;
+    /// Sets the table revision that last wrote the row.
     fn set_version(&mut self, version: u64);
 }
 
--- a/crates/core/src/table/server.rs
+++ b/crates/core/src/table/server.rs
@@ -66,7 +66,8 @@
     /// Whether it accepts new requests.
     #[serde(default)]
     pub state: ServerState,
-    /// Whether it checks the epoch of orders and refuses requests by itself.
+    /// Whether it takes orders to leave or to serve again, checks their epoch, and refuses
+    /// requests by itself while it is leaving.
     #[serde(default)]
     pub checks_orders: bool,
     /// State from the platform's list; the default for an operators' row.
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -17,7 +17,7 @@
 /// A daemon that records the opened amount for a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
-    /// The daemon's start; a later start has lost the records.
+    /// The daemon's incarnation; a later one does not have the records.
     pub incarnation: Incarnation,
     /// Address of its peer port.
     pub address: Arc<str>,
