--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -199,7 +199,7 @@
     }
 
     /// Returns whether tokens should be prefetched because too few are held. True also before
-    /// the first request, which may arrive while the store is unreachable.
+    /// the first request, which may arrive while the store is unavailable.
     pub fn is_low(&self, budget: &Name, terms: &DrawTerms, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else {
             return self.effective_terms(terms, now).min_held(terms.tokens, Tokens::MAX) > 0;
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Adds the witnesses that the next draw names. Until its answer arrives the store may
+    /// Adds the witnesses that the next draw names. Until its reply arrives, the store may
     /// have recorded either these or the previous ones, so all of them have to agree.
     pub fn propose_witnesses(&mut self, budget: &Name, witnesses: &[Witness]) {
         let account = self.accounts.entry(budget.clone()).or_default();
@@ -346,7 +346,7 @@
 
     /// Debits up to `max` free tokens for `receiver` and returns the cumulative sum sent to
     /// it. Tokens sent beyond `already_received`, its own cumulative count, are still in
-    /// transit and count towards `max`: a retry after a lost answer debits nothing twice.
+    /// transit and count towards `max`: a retry after a lost reply debits nothing twice.
     pub fn transfer(
         &mut self,
         budget: &Name,
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -164,7 +164,7 @@
         let max = request.want.min(request.need.saturating_add(ahead));
         let free = account.free();
         let sent = account.sent.entry(request.holder).or_default();
-        // Tokens sent but not yet received count: the answer that reported them was lost.
+        // Tokens sent but not yet received count: the reply that reported them was lost.
         let in_transit = if addresses_me { sent.saturating_sub(received) } else { 0 };
         let missing = request.need.saturating_sub(in_transit).saturating_sub(free);
         if missing > 0 {
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -19,7 +19,7 @@
     /// At most 1/`share_divisor` of what is available is drawn at once.
     pub share_divisor: u64,
     /// Fraction of an equal share that is held at least, so that a daemon that spends little
-    /// has tokens when the store is unreachable.
+    /// has tokens when the store is unavailable.
     pub held_ahead: f64,
     /// Fraction of what all holders together may prefetch ([`held_fraction`]) that an owner in
     /// a large fleet reserves for the other daemons before the spending is known; 0 for
@@ -66,7 +66,7 @@
     pub free: Tokens,
     /// Cumulative tokens of its grant that the holder has opened.
     pub opened: Tokens,
-    /// Witnesses that attest what the holder opens while the store is unreachable.
+    /// Witnesses that attest what the holder opens while the store is unavailable.
     pub witnesses: Vec<Witness>,
     /// An earlier incarnation at that address, as known to the holder, which this draw ends.
     #[serde(rename = "ends")]
--- a/crates/core/src/holder/prefetch.rs
+++ b/crates/core/src/holder/prefetch.rs
@@ -19,7 +19,7 @@
 const BATCH_S: f64 = 2.0;
 
 /// Least prefetch of an owner, in mean requests, so that the next requests of a rarely used
-/// budget find tokens while the store is unreachable.
+/// budget find tokens while the store is unavailable.
 const MIN_PREFETCHED_REQUESTS: Tokens = 2;
 
 /// Time without a request, in milliseconds, after which a daemon gives any surplus back to
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -40,7 +40,7 @@
 
 impl Holder {
     /// Returns the most that the caller's request behind a token request may reserve
-    /// ([`Holder::ration`]), as the owner sees the budget. While the store is unreachable, the
+    /// ([`Holder::ration`]), as the owner sees the budget. While the store is unavailable, the
     /// tokens left with it do not count.
     pub fn ration_for(
         &self,
--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -32,7 +32,7 @@
     updated_at: Millis,
 }
 
-/// Traffic that one request sends in total: its body to a server and its answer to the caller.
+/// Traffic that one request sends in total: its body to a server and its response to the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Traffic {
     /// Bytes of bodies and events.
--- a/crates/core/src/outage.rs
+++ b/crates/core/src/outage.rs
@@ -1,4 +1,4 @@
-//! Retry delays that callers are given while the store is unreachable.
+//! Retry delays that callers are given while the store is unavailable.
 //!
 //! Load pattern: no daemon can reach the store, the tokens that owners hold of a budget are
 //! used up, and each caller retries once. The length of an outage is unknown in advance: of
@@ -33,7 +33,7 @@
 
 /// Returns the retry delay, in milliseconds, of a daemon that started `age_ms` ago and has no
 /// table yet. `jitter` is random, from 0 to 1. Load pattern: all daemons start at once while the
-/// store is unreachable, each caller retries once, and after 100 ms nothing has changed.
+/// store is unavailable, each caller retries once, and after 100 ms nothing has changed.
 pub fn retry_after_start(age_ms: Millis, jitter: f64) -> Millis {
     let mean =
         (age_ms as f64 * OUTAGE_AGE_FACTOR).clamp(START_RETRY_RANGE_MS.0, START_RETRY_RANGE_MS.1);
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -61,12 +61,12 @@
     pub(super) row_draining: bool,
     pub(super) listed_leaving: bool,
     pub(super) leaving_until: Millis,
-    /// Whether it has announced in its answers that it is leaving; this is final.
+    /// Whether it has announced in its responses that it is leaving; this is final.
     pub(super) said_leaving: bool,
     /// When the rest that it has asked this daemon for ends.
     pub(super) rests_until: Millis,
     pub(super) in_flight: u32,
-    /// Tokens of the prompts that this daemon has sent and whose answers have not begun.
+    /// Tokens of the prompts that this daemon has sent and whose responses have not begun.
     pub(super) unread: Tokens,
     /// The same for peers, from their reports.
     pub(super) unread_elsewhere: Tokens,
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -198,41 +198,47 @@
         let mut changed = false;
         self.read_to = self.read_to.max(changes.at);
         // Peers with an older version than this have not seen these changes.
-        let at = changes.at.max(self.version.at);
+        let platform_version = changes.at.max(self.version.at);
         if changes.whole {
             let missing: Vec<Name> = self.missing_from(&changes);
             for name in missing {
-                changed |= self.remove(now, at, RemovedServer { name, started_ms: Millis::MAX });
+                changed |= self.remove(
+                    now,
+                    platform_version,
+                    RemovedServer { name, started_ms: Millis::MAX },
+                );
             }
         }
         for gone in &changes.gone {
             match self.started_ms(&gone.name) {
                 // It was added and removed between two reads; peers may have seen it.
-                None => self.record_removal(at, gone.clone()),
+                None => self.record_removal(platform_version, gone.clone()),
                 Some(known) if known == gone.started_ms => {
-                    changed |= self.remove(now, at, gone.clone());
+                    changed |= self.remove(now, platform_version, gone.clone());
                 }
                 // No grace period: the known instance ended before the removed one.
                 Some(known) if known < gone.started_ms => {
-                    changed |= self.remove_now(at, gone.clone());
+                    changed |= self.remove_now(platform_version, gone.clone());
                 }
                 Some(_) => {}
             }
         }
         for name in changes.unreadable.iter().filter_map(|entry| entry.name.as_ref()) {
             // No grace period: the platform has the entry, but it describes no usable server.
-            changed |=
-                self.remove_now(at, RemovedServer { name: name.clone(), started_ms: Millis::MAX });
+            changed |= self.remove_now(
+                platform_version,
+                RemovedServer { name: name.clone(), started_ms: Millis::MAX },
+            );
         }
         for server in changes.put {
-            changed |= self.put(now, at, server);
+            changed |= self.put(now, platform_version, server);
         }
         if changed || !self.version.is_some() {
             self.version = self.version.max(ListVersion { at: changes.at, drops: 0 });
         }
         if changes.whole {
             // Entries that were added and removed before are unknown.
-            self.discard_removals(at);
+            self.discard_removals(platform_version);
         }
         changed
     }
@@ -316,7 +322,7 @@
         self.entries.get(name).map(|entry| entry.server.started_ms)
     }
 
-    fn put(&mut self, now: Millis, at: u64, server: ListedServer) -> bool {
+    fn put(&mut self, now: Millis, platform_version: u64, server: ListedServer) -> bool {
         if self.started_ms(&server.name).is_some_and(|known| known > server.started_ms) {
             return false;
         }
@@ -325,36 +331,36 @@
         {
             known.server = server;
             // Peers may have received a different entry that was written between two reads.
-            known.changed_at = at;
+            known.changed_at = platform_version;
             // Peers that received its drop time need to learn that it is registered again.
             return known.dropped_at.take().is_some();
         }
         let cold_until = now + server.cold_for_ms;
-        let entry = Entry { cold_until, dropped_at: None, changed_at: at, server };
+        let entry = Entry { cold_until, dropped_at: None, changed_at: platform_version, server };
         self.entries.insert(entry.server.name.clone(), entry);
         true
     }
 
     /// Removes an entry, after the grace period if one is running; returns whether it was
     /// removed now.
-    fn remove(&mut self, now: Millis, at: u64, gone: RemovedServer) -> bool {
+    fn remove(&mut self, now: Millis, platform_version: u64, gone: RemovedServer) -> bool {
         if now >= self.grace_until {
-            return self.remove_now(at, gone);
+            return self.remove_now(platform_version, gone);
         }
         let grace_until = self.grace_until;
         if let Some(entry) = self.entries.get_mut(&gone.name) {
             entry.dropped_at.get_or_insert(grace_until);
-            entry.changed_at = at;
+            entry.changed_at = platform_version;
         }
         false
     }
 
     /// Removes an entry at once; returns whether it was known. The removal is recorded with the
     /// start time in `gone`, since peers may know a later instance than this daemon.
-    fn remove_now(&mut self, at: u64, gone: RemovedServer) -> bool {
+    fn remove_now(&mut self, platform_version: u64, gone: RemovedServer) -> bool {
         let is_known = self.entries.remove(&gone.name).is_some();
         if is_known {
-            self.record_removal(at, gone);
+            self.record_removal(platform_version, gone);
         }
         is_known
     }
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -106,10 +106,10 @@
     }
 
     /// Adds or merges one entry received from a peer.
-    fn put_shared(&mut self, now: Millis, at: u64, shared: SharedServer) {
+    fn put_shared(&mut self, now: Millis, platform_version: u64, shared: SharedServer) {
         let SharedServer { server, dropped_in, cold_in } = shared;
         let (cold_until, dropped_at) = (now + cold_in, dropped_in.map(|left| now + left));
-        let entry = Entry { cold_until, dropped_at, changed_at: at, server };
+        let entry = Entry { cold_until, dropped_at, changed_at: platform_version, server };
         let known = self.entries.get(&entry.server.name);
         if dropped_at.is_some() && known.is_none() {
             // This daemon has already removed it.
@@ -119,8 +119,8 @@
         self.entries.insert(entry.server.name.clone(), entry);
     }
 
-    pub(super) fn record_removal(&mut self, at: u64, gone: RemovedServer) {
-        self.removed.push_back((at, gone));
+    pub(super) fn record_removal(&mut self, platform_version: u64, gone: RemovedServer) {
+        self.removed.push_back((platform_version, gone));
         while self.removed.len() > MAX_RECORDED_REMOVALS
             && let Some((at, _)) = self.removed.pop_front()
         {
--- a/crates/core/src/store_read_policy.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -30,7 +30,7 @@
 const MAX_STARTUP_RANK_DELAY_MS: Millis = 500;
 
 /// Interval at which a reader probes an unavailable store, in milliseconds: a server's
-/// announcement that it is leaving is to be known within two seconds of the store's return.
+/// announcement that it is leaving is to be known within two seconds of the end of an outage.
 const READER_PROBE_MS: Millis = 200;
 
 /// Shortest and longest probe interval of other daemons, in milliseconds. Readers detect a
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,4 +1,4 @@
-//! Check that a chunk of an answer belongs to the stream on which it was received.
+//! Check that a chunk of a response belongs to the stream on which it was received.
 
 /// How to handle one received chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/table/route.rs
+++ b/crates/core/src/table/route.rs
@@ -70,7 +70,7 @@
     /// Maximum number of servers to which one request is sent.
     #[serde(default = "default_max_tries")]
     pub max_tries: u32,
-    /// Time within which an answer, or the first event of a stream, is of full
+    /// Time within which a response, or the first event of a stream, is of full
     /// use to the caller, in milliseconds; 0 when unknown.
     #[serde(default)]
     pub goal_ms: u64,
@@ -81,7 +81,7 @@
     /// Whether callers may omit the key.
     #[serde(default)]
     pub public: bool,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[serde(default)]
     pub streams: bool,
     /// Whether an interrupted stream may be resumed at another server.
