--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -1,16 +1,16 @@
-//! bankcove's own interface for callers: chat completions and plain service calls.
+//! bankcove's own HTTP interface for callers: chat completions and calls of plain services.
 //!
-//! Owns a request's way from `admission` over `placement` to its answer (`pump`, `proxy`).
-//! May call `requests`, `bill` and the layers below; called by HTTP alone. A platform's wire
-//! of its own is served by `entry` instead.
+//! Handles a request from `admission` through `placement` to its response (`delivery`, `proxy`).
+//! May call `requests`, `bill` and the layers below; called only by HTTP routes. The platform's
+//! own protocol is served by `entry` instead.
 
 pub mod admission;
-pub mod answer;
 pub mod backend;
 pub mod chat;
+pub mod delivery;
 pub mod placement;
 pub mod proxy;
-pub mod pump;
+pub mod response;
 pub mod sse;
 
 use std::sync::Arc;
@@ -20,34 +20,38 @@
 use salvo::Depot;
 
 use crate::bill::billing::Billing;
-use crate::requests::Requests;
+use crate::requests::RequestContext;
 
-/// What the parts of this side share.
+/// Shared state of the handlers of this interface.
 pub struct Api {
-    /// What its requests are served with.
-    pub requests: Arc<Requests>,
-    /// Bills that wait for the store.
+    /// State that requests are served with.
+    pub requests: Arc<RequestContext>,
+    /// Bills and other request log entries that wait for the store.
     pub billing: Arc<Billing>,
-    /// Connections to backend servers.
+    /// HTTP client with the connections to backend servers.
     pub http: reqwest::Client,
     attempts: AtomicU64,
 }
 
 impl Api {
-    /// This side of a daemon.
-    pub fn new(requests: Arc<Requests>, billing: Arc<Billing>, http: reqwest::Client) -> Arc<Self> {
+    /// Creates the state of this interface.
+    pub fn new(
+        requests: Arc<RequestContext>,
+        billing: Arc<Billing>,
+        http: reqwest::Client,
+    ) -> Arc<Self> {
         Arc::new(Api { requests, billing, http, attempts: AtomicU64::new(0) })
     }
 
-    /// Identity for a new attempt.
+    /// Returns the identifier for a new attempt.
     pub fn next_attempt(&self) -> AttemptId {
         let sequence = self.attempts.fetch_add(1, Ordering::Relaxed);
         AttemptId { incarnation: self.requests.base.incarnation, sequence }
     }
 }
 
-/// The side that a request came to.
-pub fn api(depot: &Depot) -> Arc<Api> {
+/// Returns the state that is injected into the routes of this interface.
+pub fn api_state(depot: &Depot) -> Arc<Api> {
     let api = depot.obtain::<Arc<Api>>();
-    Arc::clone(api.expect("this side is injected into every route"))
+    Arc::clone(api.expect("Api is injected into every route"))
 }
--- /dev/null
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -0,0 +1,167 @@
+//! Recent contact with peers and the store, and whether this daemon is isolated.
+//!
+//! An isolated daemon can't learn that a server is draining. It stops sending new work to servers
+//! that check no orders; servers that check them refuse work by themselves.
+
+use std::collections::VecDeque;
+
+use bankcove_core::Millis;
+use bankcove_core::freshness::Freshness;
+use parking_lot::Mutex;
+
+/// Number of heartbeats whose outcome is remembered.
+const MAX_OUTCOMES: usize = 16;
+
+/// Smallest number of heartbeats from which isolation is judged; with fewer this daemon counts as
+/// isolated unless the store has answered.
+const MIN_OUTCOMES: usize = 4;
+
+/// Number of consecutive heartbeats without an answer after which this daemon itself seems to be
+/// cut off.
+const CUT_OFF_AFTER_FAILURES: usize = 4;
+
+/// Time for which the store is not called after a single failed call, in milliseconds.
+const STORE_FAILURE_PAUSE_MS: Millis = 500;
+
+#[derive(Debug, Default)]
+struct State {
+    store_answered_at: Option<Millis>,
+    store_lost: bool,
+    store_paused_until: Millis,
+    heartbeats: VecDeque<bool>,
+    view: Freshness,
+}
+
+impl State {
+    fn is_cut_off_from_peers(&self) -> bool {
+        let last = self.heartbeats.iter().rev().take(CUT_OFF_AFTER_FAILURES);
+        self.heartbeats.len() >= CUT_OFF_AFTER_FAILURES
+            && last.into_iter().all(|answered| !answered)
+    }
+}
+
+/// Record of recent contact with peers and the store.
+#[derive(Debug, Default)]
+pub struct Connectivity {
+    state: Mutex<State>,
+}
+
+impl Connectivity {
+    /// Creates a record without contact. `follows_halls` as in [`Freshness::new`].
+    pub fn new(follows_halls: bool) -> Self {
+        let state = State { view: Freshness::new(follows_halls), ..State::default() };
+        Connectivity { state: Mutex::new(state) }
+    }
+
+    /// Records that the store answered.
+    pub fn record_store_answer(&self, now: Millis) {
+        let mut state = self.state.lock();
+        state.store_answered_at = Some(now);
+        state.store_lost = false;
+        state.store_paused_until = 0;
+    }
+
+    /// Records that the table was read from the store.
+    pub fn record_table_read(&self, now: Millis) {
+        self.state.lock().view.record_table_read(now);
+        self.record_store_answer(now);
+    }
+
+    /// Records that the server list was read from the store.
+    pub fn record_servers_read(&self, now: Millis) {
+        self.state.lock().view.record_servers_read(now);
+        self.record_store_answer(now);
+    }
+
+    /// Records that the list of evacuated halls was read from the store.
+    pub fn record_halls_read(&self, now: Millis) {
+        self.state.lock().view.record_halls_read(now);
+        self.record_store_answer(now);
+    }
+
+    /// Records that this daemon has all versions of a peer which, asked at `asked_at`, reported a
+    /// view of this `age`.
+    pub fn record_peer_sync(&self, asked_at: Millis, age: Millis) {
+        self.state.lock().view.record_peer_sync(asked_at, age);
+    }
+
+    /// Returns the greatest possible age of the view, in milliseconds; none before all parts of it
+    /// were received.
+    pub fn view_age(&self, now: Millis) -> Option<Millis> {
+        self.state.lock().view.age(now)
+    }
+
+    /// Whether the view may be older than `limit`; true before all parts of it were received.
+    pub fn is_view_older_than(&self, limit: Millis, now: Millis) -> bool {
+        self.state.lock().view.is_older_than(limit, now)
+    }
+
+    /// Records that the watch of the store failed. Until the store answers again, only the watch
+    /// calls it: calls of an unavailable store are charged too.
+    pub fn mark_store_unavailable(&self) {
+        self.state.lock().store_lost = true;
+    }
+
+    /// Records that this daemon now learns of changes from peers instead of watching the store.
+    /// Other calls may then show whether the store is available.
+    pub fn clear_store_unavailable(&self) {
+        self.state.lock().store_lost = false;
+    }
+
+    /// Records that a single call failed; the store is not called for a short time.
+    pub fn record_store_failure(&self, now: Millis) {
+        self.state.lock().store_paused_until = now + STORE_FAILURE_PAUSE_MS;
+    }
+
+    /// Whether the store counts as unavailable and should not be called now.
+    pub fn is_store_away(&self, now: Millis) -> bool {
+        let state = self.state.lock();
+        state.store_lost || now < state.store_paused_until
+    }
+
+    /// Records that the store answered a peer, or a daemon that the peer is in contact with, this
+    /// `age` before `now`.
+    pub fn record_peer_store_age(&self, now: Millis, age: Option<Millis>) {
+        let Some(answered_at) = age.map(|age| now.saturating_sub(age)) else { return };
+        let mut state = self.state.lock();
+        state.store_answered_at = state.store_answered_at.max(Some(answered_at));
+    }
+
+    /// Returns the time since the store last answered this daemon or a peer that it is in contact
+    /// with, in milliseconds.
+    pub fn store_age(&self, now: Millis) -> Option<Millis> {
+        self.state.lock().store_answered_at.map(|at| now.saturating_sub(at))
+    }
+
+    /// Records whether a heartbeat was answered. Returns whether this is the first answer after
+    /// this daemon seemed to be cut off from all peers.
+    pub fn record_heartbeat_outcome(&self, answered: bool) -> bool {
+        let mut state = self.state.lock();
+        let was_cut_off = state.is_cut_off_from_peers();
+        state.heartbeats.push_back(answered);
+        if state.heartbeats.len() > MAX_OUTCOMES {
+            state.heartbeats.pop_front();
+        }
+        was_cut_off && answered
+    }
+
+    /// Whether none of the last heartbeats was answered.
+    pub fn is_cut_off_from_peers(&self) -> bool {
+        self.state.lock().is_cut_off_from_peers()
+    }
+
+    /// Whether this daemon may be cut off from where drains are accepted: the store has not answered
+    /// for more than `limit` milliseconds, and at least half of the last heartbeats were not
+    /// answered, or too few were sent.
+    pub fn is_isolated(&self, now: Millis, limit: Millis) -> bool {
+        let state = self.state.lock();
+        let is_store_recent =
+            state.store_answered_at.is_some_and(|at| now.saturating_sub(at) <= limit);
+        if is_store_recent {
+            return false;
+        }
+        let answered = state.heartbeats.iter().filter(|answered| **answered).count();
+        let known = state.heartbeats.len();
+        known < MIN_OUTCOMES || answered * 2 <= known
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/fleet/query_throttle.rs
@@ -0,0 +1,25 @@
+//! Limits how often a daemon queries peers for all of their records.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use bankcove_core::Millis;
+
+/// Enforces a minimum interval between queries whose responses may be large.
+#[derive(Debug, Default)]
+pub struct QueryThrottle {
+    /// Time of the last query; 0 before the first.
+    last_query_at: AtomicU64,
+}
+
+impl QueryThrottle {
+    /// Returns whether a query may be sent now, at least `min_interval` milliseconds after the last
+    /// one; if so, records it as sent.
+    pub fn try_acquire(&self, now: Millis, min_interval: Millis) -> bool {
+        let last_query_at = self.last_query_at.load(Ordering::Relaxed);
+        let is_allowed = last_query_at == 0 || now.saturating_sub(last_query_at) >= min_interval;
+        if is_allowed {
+            self.last_query_at.store(now.max(1), Ordering::Relaxed);
+        }
+        is_allowed
+    }
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,14 +1,14 @@
 //! The bankcove daemon as a library, so that the demo can embed it.
 //!
-//! A thin shell around `bankcove-core`: it turns sockets, timers and answers
-//! of the store into events and carries out the commands that come back.
+//! A thin I/O layer around `bankcove-core`: it converts data from sockets, timers and the store
+//! into events for the state machines there and executes the commands that they return.
 
 pub mod api;
 pub mod args;
+pub mod auth;
 pub mod base;
 pub mod bill;
 pub mod budget;
-pub mod controller;
 pub mod crashes;
 pub mod daemon;
 pub mod entry;
@@ -16,7 +16,7 @@
 pub mod fleet;
 pub mod hints;
 pub mod http;
-pub mod identity;
+pub mod lifecycle;
 pub mod membership;
 pub mod operator;
 pub mod peer;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,12 +1,12 @@
-//! The bankcove daemon.
+//! Entry point of the bankcove daemon.
 
 use clap::Parser;
 
 use bankcoved::args::Args;
-use bankcoved::controller;
+use bankcoved::lifecycle;
 
 fn main() -> miette::Result<()> {
     let args = Args::parse();
-    controller::run(args)?;
+    lifecycle::run(args)?;
     Ok(())
 }
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -1,4 +1,4 @@
-//! The whole state of a daemon, for people.
+//! State of a daemon for people: a summary and a full dump.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::budget::statement;
 use crate::daemon::Daemon;
 
-/// State of this daemon in a few lines.
+/// Returns a summary of the daemon's state and its peers.
 pub fn status(daemon: &Daemon) -> Value {
     let now = daemon.clock.now();
     let peers: Vec<Value> = {
@@ -30,15 +30,15 @@
         "incarnation": daemon.incarnation,
         "revision": daemon.revision(),
         "stopping": daemon.requests.stopping.is_cancelled(),
-        "store_heard_ms_ago": daemon.fleet.contact.store_age(now),
-        "isolated": daemon.fleet.contact.is_isolated(now, daemon.cfg.limits.isolation_ms),
-        "requests_in_flight": daemon.requests.work.len(),
-        "bills_waiting": daemon.billing.waiting(),
+        "store_heard_ms_ago": daemon.fleet.connectivity.store_age(now),
+        "isolated": daemon.fleet.connectivity.is_isolated(now, daemon.cfg.limits.isolation_ms),
+        "requests_in_flight": daemon.requests.in_flight.len(),
+        "bills_waiting": daemon.billing.pending_entries(),
         "peers": peers,
     })
 }
 
-/// Everything that this daemon knows, without keys.
+/// Returns the daemon's full state without keys.
 pub async fn dump(daemon: &Arc<Daemon>) -> Value {
     let holder = daemon.budgets.holder().clone();
     let free: HashMap<String, Tokens> = holder
@@ -50,7 +50,7 @@
     let holdings: Vec<DaemonHolding> = free.keys().map(held).collect();
     let mut table = daemon.table.load().as_ref().map(|table| (**table).clone());
     if let Some(table) = &mut table {
-        // Not even hashes of keys leave by a dump.
+        // A dump contains no hashes of keys either.
         table.workspaces.iter_mut().for_each(|row| row.keys_sha256.clear());
     }
     let servers = daemon.router.lock().servers().to_vec();
@@ -60,12 +60,12 @@
         "holder": holder,
         "free": free,
         "holdings": holdings,
-        "owners": daemon.budgets.owners.dump().await,
+        "owners": daemon.budgets.owner_tasks.dump().await,
         "request_log": daemon.billing.logs.dump().await,
         "servers": servers,
         "limits": daemon.hints.dump(),
         "crashes": daemon.crashes.facts(),
-        "crashes_remembered": daemon.crashes.gauge(),
+        "crashes_remembered": daemon.crashes.stats(),
         "marks_kept_for_others": daemon.budgets.marks().len(),
         "peer_connections": daemon.peers.len(),
     })
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers, each by the layer that it concerns.
+//! Server side of the RPC protocol: passes each call of a peer to the layer that handles it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,26 +29,27 @@
 use crate::membership;
 use crate::peer::packed_table::PackedTable;
 use crate::peer::{
-    AllotAnswer, GiveAnswer, HostsTold, OwnerAnswer, PeerService, PermitAnswer, framed,
+    AllotAnswer, GiveAnswer, HostListReply, OwnerAnswer, PeerService, PermitAnswer, framed,
 };
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
+/// Handler of the calls of one peer.
 #[derive(Clone)]
-struct Server {
+struct PeerHandler {
     daemon: Arc<Daemon>,
 }
 
-impl PeerService for Server {
+impl PeerService for PeerHandler {
     async fn heartbeat(self, _: Context, from: Heartbeat) -> Heartbeat {
-        membership::heard(&self.daemon.membership, &from);
+        membership::handle_heartbeat(&self.daemon.membership, &from);
         self.daemon.membership.heartbeat()
     }
 
-    async fn told_unread(self, _: Context, news: UnreadReport) {
+    async fn told_unread(self, _: Context, report: UnreadReport) {
         let now = self.daemon.clock.now();
-        self.daemon.router.lock().merge_unread_report(now, &news);
+        self.daemon.router.lock().merge_unread_report(now, &report);
     }
 
     async fn table_above(self, _: Context, revision: u64) -> Option<PackedTable> {
@@ -59,7 +60,7 @@
         match PackedTable::pack(&table) {
             Ok(packed) => Some(packed),
             Err(e) => {
-                slog::error!(self.daemon.log, "the table can't be packed"; "error" => %e);
+                slog::error!(self.daemon.log, "failed to pack table"; "error" => %e);
                 None
             }
         }
@@ -74,20 +75,20 @@
         self.daemon.view.servers.lock().update_since(now, version)
     }
 
-    async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostsTold> {
-        self.daemon.view.hosts.load().unless(hash, self.daemon.clock.now())
+    async fn hosts_unless(self, _: Context, hash: u64) -> Option<HostListReply> {
+        self.daemon.view.hosts.load().unless_hash(hash, self.daemon.clock.now())
     }
 
     async fn ask_owner(self, _: Context, request: Request) -> OwnerAnswer {
         owner::ask_local_owner(&self.daemon.budgets, request).await
     }
 
-    async fn allot(self, _: Context, ask: TokenRequest) -> AllotAnswer {
-        allotment::allot(&self.daemon.budgets, ask).await
+    async fn allot(self, _: Context, request: TokenRequest) -> AllotAnswer {
+        allotment::allot(&self.daemon.budgets, request).await
     }
 
-    async fn lend(self, _: Context, ask: TokenRequest) -> Allotted {
-        self.daemon.budgets.holder().lend(&ask)
+    async fn lend(self, _: Context, request: TokenRequest) -> Allotted {
+        self.daemon.budgets.holder().lend(&request)
     }
 
     async fn take(
@@ -98,11 +99,11 @@
         from: Incarnation,
         sum: Tokens,
     ) -> bool {
-        let is_me = receiver == self.daemon.incarnation;
-        if is_me {
+        let is_current = receiver == self.daemon.incarnation;
+        if is_current {
             self.daemon.budgets.holder().record_received(&budget, from, sum);
         }
-        is_me
+        is_current
     }
 
     async fn give(
@@ -117,7 +118,7 @@
         if holder != self.daemon.incarnation {
             return GiveAnswer::OtherIncarnation;
         }
-        collect::give_all(&self.daemon.budgets, &budget, receiver, received, most).await
+        collect::send_free_tokens(&self.daemon.budgets, &budget, receiver, received, most).await
     }
 
     async fn holding(self, _: Context, budget: Name) -> DaemonHolding {
@@ -132,8 +133,8 @@
         budget: Name,
         opened: Tokens,
     ) -> bool {
-        let is_me = witness == self.daemon.incarnation;
-        is_me && self.daemon.budgets.marks().open(holder, &budget, opened)
+        let is_current = witness == self.daemon.incarnation;
+        is_current && self.daemon.budgets.marks().open(holder, &budget, opened)
     }
 
     async fn close(
@@ -143,16 +144,16 @@
         witness: Incarnation,
         budget: Name,
     ) -> Option<Tokens> {
-        let is_me = witness == self.daemon.incarnation;
-        is_me.then(|| self.daemon.budgets.marks().close(holder, &budget))
+        let is_current = witness == self.daemon.incarnation;
+        is_current.then(|| self.daemon.budgets.marks().close(holder, &budget))
     }
 
     async fn submit(self, _: Context, entry: Entry) -> Outcome {
-        request_log::submit_here(&self.daemon.billing, entry).await
+        request_log::submit_locally(&self.daemon.billing, entry).await
     }
 
     async fn told_crashes(self, _: Context, facts: CrashFacts) {
-        self.daemon.crashes.told(facts);
+        self.daemon.crashes.merge_facts(facts);
     }
 
     async fn crash_facts(self, _: Context) -> CrashFacts {
@@ -160,56 +161,57 @@
     }
 
     async fn told_hints(self, _: Context, facts: Vec<HintFact>) {
-        self.daemon.hints.told(&facts);
+        self.daemon.hints.merge_facts(&facts);
     }
 
     async fn hint_facts(self, _: Context) -> Vec<HintFact> {
         self.daemon.hints.facts()
     }
 
-    async fn permits(self, _: Context, fact: LimitFact, wish: PermitRequest) -> PermitAnswer {
-        self.daemon.hints.issue(&fact, wish)
+    async fn permits(self, _: Context, fact: LimitFact, request: PermitRequest) -> PermitAnswer {
+        self.daemon.hints.issue(&fact, request)
     }
 
     async fn keep_bill(self, _: Context, bill: Bill) {
-        self.daemon.billing.keep(Entry::Bill(bill));
+        self.daemon.billing.enqueue(Entry::Bill(bill));
     }
 }
 
-/// Serves peers until the daemon ends.
+/// Starts to serve peers, in the background, until the daemon ends.
 ///
 /// # Errors
-/// [`crate::Error::Listen`] when the port can't be listened on.
+/// Returns [`crate::Error::Listen`] if listening on the peer port fails.
 pub async fn serve(daemon: Arc<Daemon>) -> Result<()> {
     let listener = tcp::listen(&daemon.cfg.peer_listen)?;
     tokio::spawn(async move {
-        let ended = daemon.ended.clone();
+        let ended = daemon.shutdown.clone();
         tokio::select! {
-            () = accept(&daemon, listener) => {}
+            () = accept_connections(&daemon, listener) => {}
             () = ended.cancelled() => {}
         }
     });
     Ok(())
 }
 
-async fn accept(daemon: &Arc<Daemon>, listener: TcpListener) {
+/// Accepts connections of peers and serves each in a task of its own.
+async fn accept_connections(daemon: &Arc<Daemon>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(answer(Arc::clone(daemon), stream))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(Arc::clone(daemon), stream))),
             Err(e) => {
-                slog::warn!(daemon.log, "a peer was not accepted"; "error" => %e);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                slog::warn!(daemon.log, "failed to accept a peer connection"; "error" => %e);
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Answers one peer until it leaves or the daemon ends.
-async fn answer(daemon: Arc<Daemon>, stream: TcpStream) {
-    let ended = daemon.ended.clone();
+/// Serves one peer until it closes the connection or the daemon ends.
+async fn serve_connection(daemon: Arc<Daemon>, stream: TcpStream) {
+    let ended = daemon.shutdown.clone();
     let transport = tarpc::serde_transport::new(framed(stream), Bincode::default());
     let channel = BaseChannel::with_defaults(transport);
-    let requests = channel.execute(Server { daemon }.serve()).for_each(|response| async {
+    let requests = channel.execute(PeerHandler { daemon }.serve()).for_each(|response| async {
         tokio::spawn(response);
     });
     tokio::select! {
--- a/crates/daemon/src/requests/open_request.rs
+++ b/crates/daemon/src/requests/open_request.rs
@@ -1,64 +1,70 @@
-//! A request that is open at a backend server, on either side for callers.
+//! Accounting of requests that are open at a backend server, whichever interface received them.
 
 use std::sync::Arc;
 
 use bankcove_core::router::Choice;
 use bankcove_core::{Millis, Name, Tokens};
 
-use crate::crashes::gate::RunApart;
-use crate::membership::unread_news::MIN_TOLD_TOKENS;
-use crate::requests::Requests;
+use crate::crashes::isolation::IsolatedRun;
+use crate::membership::unread_reports::MIN_REPORTED_TOKENS;
+use crate::requests::RequestContext;
 
-/// A request that is open at a server; dropping it counts it as ended.
+/// A request that is open at a server. Dropping it records the request as ended.
 pub struct OpenRequest {
-    requests: Arc<Requests>,
+    requests: Arc<RequestContext>,
     server: Name,
     started_ms: Millis,
-    well: bool,
-    unread: Tokens,
-    /// Its one further run, when it has the same crashes as another request.
-    pub apart: Option<RunApart>,
+    succeeded: bool,
+    unread_prompt: Tokens,
+    /// Registration of its only further run, if it has the same crashes as another request
+    /// ([`bankcove_core::crashes::Verdict::Isolated`]).
+    pub isolated_run: Option<IsolatedRun>,
 }
 
 impl OpenRequest {
-    /// Counts a request with a prompt of this length (0 without one) as open at
-    /// the server of this choice.
-    pub fn new(requests: &Arc<Requests>, choice: &Choice, prompt: Tokens) -> Self {
+    /// Records a request as open at the chosen server. `prompt` is the length of its prompt in
+    /// tokens, 0 without one.
+    pub fn new(requests: &Arc<RequestContext>, choice: &Choice, prompt: Tokens) -> Self {
         requests.router.lock().record_sent(&choice.server, choice.started_ms, prompt);
-        if prompt >= MIN_TOLD_TOKENS {
+        if prompt >= MIN_REPORTED_TOKENS {
             requests.unread_changed.notify_one();
         }
         OpenRequest {
             requests: Arc::clone(requests),
             server: choice.server.clone(),
             started_ms: choice.started_ms,
-            well: true,
-            unread: prompt,
-            apart: None,
+            succeeded: true,
+            unread_prompt: prompt,
+            isolated_run: None,
         }
     }
 
-    /// The server has read the prompt: its answer has begun.
-    pub fn begun(&mut self) {
-        let prompt = std::mem::take(&mut self.unread);
+    /// Records that the server has read the prompt, because its response has begun.
+    pub fn record_prompt_read(&mut self) {
+        let prompt = std::mem::take(&mut self.unread_prompt);
         if prompt > 0 {
             self.requests.router.lock().record_prompt_read(&self.server, self.started_ms, prompt);
         }
-        if prompt >= MIN_TOLD_TOKENS {
+        if prompt >= MIN_REPORTED_TOKENS {
             self.requests.unread_changed.notify_one();
         }
     }
 
-    /// The server has failed this request.
-    pub fn failed(&mut self) {
-        self.well = false;
+    /// Records that the server failed to serve the request.
+    pub fn record_failure(&mut self) {
+        self.succeeded = false;
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.begun();
+        self.record_prompt_read();
         let now = self.requests.base.clock.now();
-        self.requests.router.lock().record_ended(now, &self.server, self.started_ms, self.well);
+        self.requests.router.lock().record_ended(
+            now,
+            &self.server,
+            self.started_ms,
+            self.succeeded,
+        );
     }
 }
