--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -48,7 +48,7 @@
 struct Demo {
     store: Running,
     servers: Vec<Running>,
-    daemons: Vec<lifecycle::Running>,
+    daemons: Vec<lifecycle::RunningDaemon>,
     http: reqwest::Client,
 }
 
@@ -74,7 +74,7 @@
             let ports = Ports::reserve()?;
             let cfg = settings(n, &table, &store.address().to_string(), &ports)?;
             let daemon = Daemon::new(cfg, bankcoved::base::logging::discard())?;
-            daemons.push(lifecycle::Running::start(daemon).await?);
+            daemons.push(lifecycle::RunningDaemon::start(daemon).await?);
         }
         let demo = Demo { store, servers, daemons, http };
         demo.list_hosts().await?;
@@ -85,7 +85,7 @@
 
     /// Writes the daemons to the store's host list.
     async fn list_hosts(&self) -> Result<()> {
-        let host = |running: &lifecycle::Running| Host {
+        let host = |running: &lifecycle::RunningDaemon| Host {
             name: running.daemon.cfg.name.clone(),
             hall: running.daemon.cfg.hall.clone(),
             address: running.daemon.cfg.peer_listen.clone(),
@@ -204,7 +204,7 @@
     }
 
     async fn stop(self) {
-        let stopping = self.daemons.into_iter().map(lifecycle::Running::stop);
+        let stopping = self.daemons.into_iter().map(lifecycle::RunningDaemon::stop);
         futures::future::join_all(stopping).await;
     }
 }
--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -1,6 +1,6 @@
 //! bankcove's own HTTP interface for callers: chat completions and calls of plain services.
 //!
-//! Handles a request from `admission` through `placement` to its response (`delivery`, `proxy`).
+//! Handles a request from `admission` through `dispatch` to its response (`delivery`, `proxy`).
 //! May call `requests`, `bill` and the layers below; called only by HTTP routes. The platform's
 //! own protocol is served by `entry` instead.
 
@@ -8,7 +8,7 @@
 pub mod backend;
 pub mod chat;
 pub mod delivery;
-pub mod placement;
+pub mod dispatch;
 pub mod proxy;
 pub mod response;
 pub mod sse;
@@ -51,7 +51,7 @@
 }
 
 /// Returns the state that is injected into the routes of this interface.
-pub fn api_state(depot: &Depot) -> Arc<Api> {
+pub fn injected_api(depot: &Depot) -> Arc<Api> {
     let api = depot.obtain::<Arc<Api>>();
     Arc::clone(api.expect("Api is injected into every route"))
 }
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -30,7 +30,7 @@
 
 /// Reason why a dispatch returned no response.
 #[derive(Debug)]
-pub enum DispatchError {
+pub enum SendError {
     /// The request was not sent because its permit was no longer valid; no failure of the server.
     NotSent(NotExecuted),
     /// The server did not execute the request.
@@ -93,15 +93,15 @@
 /// Sends a request and returns once the response begins.
 ///
 /// # Errors
-/// [`DispatchError`], which shows whether the request may have run.
-pub async fn dispatch(
+/// [`SendError`], which shows whether the request may have run.
+pub async fn send(
     api: &Api,
     permit: Permit,
     backend_request: BackendRequest,
     kind: ServerKind,
-) -> Result<Response, DispatchError> {
+) -> Result<Response, SendError> {
     let Ok(choice) = permit.consume() else {
-        return Err(DispatchError::NotSent(NotExecuted::never_sent()));
+        return Err(SendError::NotSent(NotExecuted::never_sent()));
     };
     let sent_at = api.requests.base.clock.now();
     let url = format!("http://{}{}", choice.address, backend_request.path);
@@ -113,9 +113,9 @@
         Ok(res) => res,
         Err(e) if e.is_connect() => {
             let proof = NotExecuted::connection_failed();
-            return Err(DispatchError::NotExecuted { proof, leaving: false });
+            return Err(SendError::NotExecuted { proof, leaving: false });
         }
-        Err(_) => return Err(DispatchError::Unknown),
+        Err(_) => return Err(SendError::Unknown),
     };
     observe_response(api, &choice, sent_at, &res);
     // Only refusals of engines are trusted: the body of a plain service can contain anything.
@@ -123,11 +123,11 @@
         return Ok(res);
     }
     match res.json::<Refusal>().await {
-        Ok(refusal) if !refusal.error.ran => Err(DispatchError::NotExecuted {
+        Ok(refusal) if !refusal.error.ran => Err(SendError::NotExecuted {
             proof: NotExecuted::refused_by_server(),
             leaving: refusal.error.code == "leaving",
         }),
-        _ => Err(DispatchError::Unknown),
+        _ => Err(SendError::Unknown),
     }
 }
 
--- a/crates/daemon/src/api/chat.rs
+++ b/crates/daemon/src/api/chat.rs
@@ -19,10 +19,10 @@
 
 use crate::api::Api;
 use crate::api::admission::{self, Caller, identify_caller};
-use crate::api::api_state;
 use crate::api::backend::{self, BackendRequest};
 use crate::api::delivery::{self, Run};
-use crate::api::placement::{self, NotPlaced, PlacementRequest};
+use crate::api::dispatch::{self, DispatchFailure, DispatchRequest};
+use crate::api::injected_api;
 use crate::api::response::{ATTEMPT_HEADER, ErrorResponse, KEY_HEADER, ResponseBody};
 use crate::http::read_body;
 
@@ -52,7 +52,7 @@
 /// Handles a chat request.
 #[handler]
 pub async fn complete(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api_state(depot);
+    let api = injected_api(depot);
     let id = api.next_attempt();
     set_header(res, ATTEMPT_HEADER, &id.to_string());
     let chat = match parse_chat_request(&api, id, req).await {
@@ -84,7 +84,7 @@
 /// Lists the models that have a route.
 #[handler]
 pub async fn list_models(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api_state(depot);
+    let api = injected_api(depot);
     let caller = match identify_caller(&api, req) {
         Ok(caller) => caller,
         Err(error) => return error.render(res),
@@ -210,18 +210,20 @@
     let run_id =
         format!("{}-{:016x}", chat.caller.request, xxh3_64(chat.body.to_string().as_bytes()));
     let backend_request = backend_request(&chat, run_id.clone(), id);
-    let request = placement_request(&chat);
-    let placed = match placement::place(api, attempt, &request, &backend_request, interrupt).await {
-        Ok(placed) => placed,
-        Err(NotPlaced::Refused(error)) => return Err(error),
-        Err(NotPlaced::Interrupted(interrupted)) => {
+    let request = dispatch_request(&chat);
+    let answered = match dispatch::dispatch(api, attempt, &request, &backend_request, interrupt)
+        .await
+    {
+        Ok(answered) => answered,
+        Err(DispatchFailure::Refused(error)) => return Err(error),
+        Err(DispatchFailure::Interrupted(interrupted)) => {
             let budget = chat.caller.budget.name;
             return Err(
                 delivery::abort_interrupted(api, chat.log, budget, &run_id, interrupted).await
             );
         }
     };
-    slog::info!(chat.log, "dispatched"; "server" => %placed.choice.server);
+    slog::info!(chat.log, "dispatched"; "server" => %answered.choice.server);
     Ok(Run {
         log: chat.log,
         budget: chat.caller.budget.name,
@@ -229,13 +231,13 @@
         run_id,
         max_tokens: chat.max_tokens,
         stream: chat.stream,
-        placed,
+        answered,
     })
 }
 
 /// Returns the requirements of a chat request for its server.
-fn placement_request(chat: &ChatRequest) -> PlacementRequest<'_> {
-    PlacementRequest {
+fn dispatch_request(chat: &ChatRequest) -> DispatchRequest<'_> {
+    DispatchRequest {
         pool: &chat.model,
         prefix: chat.prefix,
         kind: ServerKind::Model,
@@ -276,7 +278,7 @@
 
 /// Returns the maximum cost with the prompt's tokens counted by a server, or `None` on failure.
 async fn count_tokens(api: &Arc<Api>, chat: &ChatRequest) -> Option<Tokens> {
-    let permit = placement::choose_server(api, &placement_request(chat), &[], None).await.ok()?;
+    let permit = dispatch::choose_server(api, &dispatch_request(chat), &[], None).await.ok()?;
     let prompt = backend::count_tokens(api, permit, &chat.body).await?;
     Some(prompt + chat.max_tokens)
 }
--- a/crates/daemon/src/api/delivery.rs
+++ b/crates/daemon/src/api/delivery.rs
@@ -20,7 +20,7 @@
 
 use crate::api::Api;
 use crate::api::backend;
-use crate::api::placement::{Interrupted, Placed};
+use crate::api::dispatch::{AnsweredAttempt, Interrupted};
 use crate::api::response::{ErrorResponse, ResponseBody};
 use crate::api::sse::{Chunk, Event, EventSplitter, Usage};
 use crate::bill::bills::{self, Billed};
@@ -60,7 +60,7 @@
     /// Whether the caller requested a stream.
     pub stream: bool,
     /// The dispatched attempt, its server and the response.
-    pub placed: Placed,
+    pub answered: AnsweredAttempt,
 }
 
 /// Data for settling and billing an attempt once its response is complete.
@@ -108,8 +108,8 @@
     chunks: mpsc::Sender<Bytes>,
     deadline: Millis,
 ) {
-    let Run { log, budget, model, run_id, max_tokens, placed, .. } = run;
-    let Placed { attempt, choice, res, mut open, fingerprint } = placed;
+    let Run { log, budget, model, run_id, max_tokens, answered, .. } = run;
+    let AnsweredAttempt { attempt, choice, res, mut open_request, fingerprint } = answered;
     let settlement = Settlement { log, budget, attempt, attached: is_attached(&res) };
     let mut relay = StreamRelay {
         api,
@@ -137,14 +137,14 @@
             send_error(&chunks, &deadline_response()).await;
         }
         StreamEnd::Cancelled | StreamEnd::ServerLost => {
-            open.record_failure();
+            open_request.record_failure();
             // After a protocol violation the server may be running: the crash check finds that out.
             api.requests.crashes.record_disconnect(&choice, fingerprint);
             finish_unknown(api, settlement);
             send_error(&chunks, &server_lost_response()).await;
         }
     }
-    drop(open);
+    drop(open_request);
 }
 
 /// Sends the withheld end of a stream. A caller that has disconnected since, or has stopped
@@ -177,10 +177,10 @@
     run_id: &str,
     interrupted: Interrupted,
 ) -> ErrorResponse {
-    let Interrupted { attempt, choice, open } = interrupted;
+    let Interrupted { attempt, choice, open_request } = interrupted;
     let settlement = Settlement { log, budget, attempt, attached: false };
     cancel_and_bill(api, settlement, &choice, run_id).await;
-    drop(open);
+    drop(open_request);
     deadline_response()
 }
 
@@ -196,8 +196,8 @@
     mut tx: oneshot::Sender<Result<ResponseBody, ErrorResponse>>,
     deadline: Millis,
 ) {
-    let Run { log, budget, run_id, placed, .. } = run;
-    let Placed { attempt, choice, res, mut open, fingerprint } = placed;
+    let Run { log, budget, run_id, answered, .. } = run;
+    let AnsweredAttempt { attempt, choice, res, mut open_request, fingerprint } = answered;
     let settlement = Settlement { log, budget, attempt, attached: is_attached(&res) };
     let body = tokio::select! {
         body = res.bytes() => body.ok(),
@@ -222,7 +222,7 @@
             let _gone = tx.send(Ok(ResponseBody::Complete(body)));
         }
         _ => {
-            open.record_failure();
+            open_request.record_failure();
             api.requests.crashes.record_disconnect(&choice, fingerprint);
             finish_unknown(api, settlement);
             // Fails if the caller has disconnected; no response is needed then.
--- a/crates/daemon/src/api/placement.rs
+++ b/crates/daemon/src/api/dispatch.rs
@@ -13,7 +13,7 @@
 use salvo::http::StatusCode;
 
 use crate::api::Api;
-use crate::api::backend::{self, BackendRequest, DispatchError};
+use crate::api::backend::{self, BackendRequest, SendError};
 use crate::api::response::ErrorResponse;
 use crate::crashes::isolation::IsolatedRun;
 use crate::hints::permit::Permit;
@@ -26,7 +26,7 @@
 const RETRY_UNKNOWN_MS: u64 = 500;
 
 /// An attempt to which a server has begun to respond.
-pub struct Placed {
+pub struct AnsweredAttempt {
     /// The attempt.
     pub attempt: Attempt<Dispatched>,
     /// The server.
@@ -34,13 +34,13 @@
     /// The response, of which the headers have been received.
     pub res: Response,
     /// Counts the request as open at the server until dropped.
-    pub open: OpenRequest,
+    pub open_request: OpenRequest,
     /// Content hash of the request.
     pub fingerprint: Fingerprint,
 }
 
 /// Requirements of a request for the server that runs it.
-pub struct PlacementRequest<'a> {
+pub struct DispatchRequest<'a> {
     /// The pool: a model's name, or a service route's name.
     pub pool: &'a str,
     /// Hash of the prompt's prefix.
@@ -63,7 +63,7 @@
 /// [`NoServer`] if no server is usable.
 pub async fn choose_server(
     api: &Api,
-    request: &PlacementRequest<'_>,
+    request: &DispatchRequest<'_>,
     tried: &[Name],
     placement: Option<Placement>,
 ) -> Result<Permit, NoServer> {
@@ -81,7 +81,7 @@
 /// Chooses a server; `placement` restricts the choice for a suspect request.
 fn choose_with_placement(
     api: &Api,
-    request: &PlacementRequest,
+    request: &DispatchRequest,
     tried: &[Name],
     placement: Option<Placement>,
 ) -> Result<Choice, NoServer> {
@@ -99,7 +99,7 @@
 }
 
 /// Reason why no server has begun to respond to an attempt.
-pub enum NotPlaced {
+pub enum DispatchFailure {
     /// The request was refused or its server lost, with this response to the caller.
     Refused(ErrorResponse),
     /// The attempt was interrupted; the request may be running on the server.
@@ -113,24 +113,24 @@
     /// The server.
     pub choice: Choice,
     /// Counts the request as open at the server until dropped.
-    pub open: OpenRequest,
+    pub open_request: OpenRequest,
 }
 
 /// Dispatches an attempt and waits until a server begins to respond or `interrupt` completes.
 ///
 /// # Errors
-/// [`NotPlaced`] with the reason why no server has begun to respond.
-pub async fn place(
+/// [`DispatchFailure`] with the reason why no server has begun to respond.
+pub async fn dispatch(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    request: &PlacementRequest<'_>,
+    request: &DispatchRequest<'_>,
     backend_request: &BackendRequest,
     interrupt: impl Future<Output = ()>,
-) -> Result<Placed, NotPlaced> {
+) -> Result<AnsweredAttempt, DispatchFailure> {
     tokio::pin!(interrupt);
     let fingerprint = backend_request.fingerprint(request.workspace);
     let checked = check_crashes(api, attempt, request, fingerprint).await;
-    let (mut attempt, mut isolated_run) = checked.map_err(NotPlaced::Refused)?;
+    let (mut attempt, mut isolated_run) = checked.map_err(DispatchFailure::Refused)?;
     let placement = api.requests.crashes.placement(|| fingerprint);
     let mut tried = Vec::new();
     let mut no_server = NoServer::NoneUsable;
@@ -147,27 +147,33 @@
             tried.push(choice.server);
             continue;
         }
-        let mut open = OpenRequest::new(&api.requests, &choice, 0);
+        let mut open_request = OpenRequest::new(&api.requests, &choice, 0);
         let dispatched = attempt.dispatch();
-        let dispatching = backend::dispatch(api, permit, backend_request.clone(), request.kind);
+        let sending = backend::send(api, permit, backend_request.clone(), request.kind);
         let response = tokio::select! {
-            response = dispatching => response,
+            response = sending => response,
             () = &mut interrupt => {
-                let interrupted = Interrupted { attempt: dispatched, choice, open };
-                return Err(NotPlaced::Interrupted(interrupted));
+                let interrupted = Interrupted { attempt: dispatched, choice, open_request };
+                return Err(DispatchFailure::Interrupted(interrupted));
             }
         };
         match response {
             Ok(res) => {
-                open.isolated_run = isolated_run.take();
-                return Ok(Placed { attempt: dispatched, choice, res, open, fingerprint });
+                open_request.isolated_run = isolated_run.take();
+                return Ok(AnsweredAttempt {
+                    attempt: dispatched,
+                    choice,
+                    res,
+                    open_request,
+                    fingerprint,
+                });
             }
-            Err(DispatchError::NotSent(proof)) => {
+            Err(SendError::NotSent(proof)) => {
                 attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
-            Err(DispatchError::NotExecuted { proof, leaving }) => {
-                open.record_failure();
+            Err(SendError::NotExecuted { proof, leaving }) => {
+                open_request.record_failure();
                 if leaving {
                     let now = api.requests.base.clock.now();
                     api.requests.router.lock().record_leaving_refusal(
@@ -179,14 +185,14 @@
                 attempt = dispatched.revert_dispatch(proof);
                 tried.push(choice.server);
             }
-            Err(DispatchError::Unknown) => {
-                open.record_failure();
+            Err(SendError::Unknown) => {
+                open_request.record_failure();
                 api.requests.crashes.record_disconnect(&choice, fingerprint);
-                return Err(NotPlaced::Refused(finish_unknown(api, dispatched, &choice)));
+                return Err(DispatchFailure::Refused(finish_unknown(api, dispatched, &choice)));
             }
         }
     }
-    Err(NotPlaced::Refused(no_server_response(api, attempt, request, no_server)))
+    Err(DispatchFailure::Refused(no_server_response(api, attempt, request, no_server)))
 }
 
 /// Returns whether new requests may be sent to this server. A daemon that is isolated from the
@@ -215,12 +221,12 @@
 fn no_server_response(
     api: &Api,
     attempt: Attempt<Admitted>,
-    request: &PlacementRequest<'_>,
+    request: &DispatchRequest<'_>,
     reason: NoServer,
 ) -> ErrorResponse {
     let not_run = release(api, attempt, request);
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    let (metric, code, message, return_ms) =
+    let (metric, code, message, retry_after_ms) =
         match api.requests.hints.schedule_retry(&Name::from(request.pool), reason) {
             NoServer::OnlyLimited(at_limit) => (
                 "refused.only_limited",
@@ -242,11 +248,11 @@
             ),
         };
     api.requests.base.metrics.count(metric);
-    ErrorResponse::not_run(&not_run, status, code, message).retry_after(return_ms)
+    ErrorResponse::not_run(&not_run, status, code, message).retry_after(retry_after_ms)
 }
 
 /// Releases the reservation and the claim of an attempt that does not run.
-fn release(api: &Api, attempt: Attempt<Admitted>, request: &PlacementRequest<'_>) -> NotRun {
+fn release(api: &Api, attempt: Attempt<Admitted>, request: &DispatchRequest<'_>) -> NotRun {
     let id = attempt.id;
     let not_run = attempt.not_run(&mut api.requests.budgets.holder());
     if request.claimed {
@@ -263,7 +269,7 @@
 async fn check_crashes(
     api: &Arc<Api>,
     attempt: Attempt<Admitted>,
-    request: &PlacementRequest<'_>,
+    request: &DispatchRequest<'_>,
     fingerprint: Fingerprint,
 ) -> Result<(Attempt<Admitted>, Option<IsolatedRun>), ErrorResponse> {
     let verdict = api.requests.crashes.await_verdict(Millis::MAX, || fingerprint).await;
--- a/crates/daemon/src/api/proxy.rs
+++ b/crates/daemon/src/api/proxy.rs
@@ -18,10 +18,10 @@
 
 use crate::api::Api;
 use crate::api::admission::{self, Caller, identify_caller};
-use crate::api::api_state;
 use crate::api::backend::BackendRequest;
 use crate::api::chat::set_header;
-use crate::api::placement::{self, NotPlaced, PlacementRequest};
+use crate::api::dispatch::{self, DispatchFailure, DispatchRequest};
+use crate::api::injected_api;
 use crate::api::response::{ATTEMPT_HEADER, ErrorResponse, KEY_HEADER};
 use crate::bill::bills;
 use crate::crashes;
@@ -65,7 +65,7 @@
 /// Handles a call of a plain service.
 #[handler]
 pub async fn forward(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let api = api_state(depot);
+    let api = injected_api(depot);
     let id = api.next_attempt();
     set_header(res, ATTEMPT_HEADER, &id.to_string());
     let call = match parse_call(&api, id, req).await {
@@ -170,7 +170,7 @@
     if at_most_once {
         attempt = admission::claim(api, &caller, attempt).await?;
     }
-    let request = PlacementRequest {
+    let request = DispatchRequest {
         pool: route.name.as_str(),
         prefix: xxh3_64(backend_request.path.as_bytes()),
         kind: ServerKind::Service,
@@ -181,29 +181,30 @@
     };
     let until = api.requests.base.clock.now() + deadline.as_millis() as Millis;
     let interrupt = api.requests.base.clock.sleep_until(until);
-    let placed = match placement::place(api, attempt, &request, &backend_request, interrupt).await {
-        Ok(placed) => placed,
-        Err(NotPlaced::Refused(error)) => return Err(error),
-        Err(NotPlaced::Interrupted(interrupted)) => {
-            return Err(finish_unknown(
-                api,
-                interrupted.attempt,
-                interrupted.open,
-                &interrupted.choice.server,
-            ));
-        }
-    };
-    let open = placed.open;
-    let status = placed.res.status();
-    let headers = placed.res.headers().clone();
-    let body = api.requests.base.clock.timeout_at(until, read_response_body(placed.res)).await;
+    let answered =
+        match dispatch::dispatch(api, attempt, &request, &backend_request, interrupt).await {
+            Ok(answered) => answered,
+            Err(DispatchFailure::Refused(error)) => return Err(error),
+            Err(DispatchFailure::Interrupted(interrupted)) => {
+                return Err(finish_unknown(
+                    api,
+                    interrupted.attempt,
+                    interrupted.open_request,
+                    &interrupted.choice.server,
+                ));
+            }
+        };
+    let open_request = answered.open_request;
+    let status = answered.res.status();
+    let headers = answered.res.headers().clone();
+    let body = api.requests.base.clock.timeout_at(until, read_response_body(answered.res)).await;
     let Some(Some(body)) = body else {
-        api.requests.crashes.record_disconnect(&placed.choice, placed.fingerprint);
-        return Err(finish_unknown(api, placed.attempt, open, &placed.choice.server));
+        api.requests.crashes.record_disconnect(&answered.choice, answered.fingerprint);
+        return Err(finish_unknown(api, answered.attempt, open_request, &answered.choice.server));
     };
     let is_framed = crashes::is_framed(&headers);
-    api.requests.crashes.record_response_end(&placed.choice, is_framed, || placed.fingerprint);
-    settle_and_bill(api, placed.attempt, &caller, price).await;
+    api.requests.crashes.record_response_end(&answered.choice, is_framed, || answered.fingerprint);
+    settle_and_bill(api, answered.attempt, &caller, price).await;
     Ok(ServiceResponse { status, headers, body })
 }
 
@@ -211,10 +212,10 @@
 fn finish_unknown(
     api: &Api,
     attempt: Attempt<Dispatched>,
-    mut open: OpenRequest,
+    mut open_request: OpenRequest,
     server: &Name,
 ) -> ErrorResponse {
-    open.record_failure();
+    open_request.record_failure();
     let _finished = attempt.finish(&mut api.requests.budgets.holder(), None);
     let message = format!("service '{server}' gave no whole answer in time");
     ErrorResponse::unknown("server_lost", message).retry_after(RETRY_UNKNOWN_MS)
--- a/crates/daemon/src/base/metrics.rs
+++ b/crates/daemon/src/base/metrics.rs
@@ -90,7 +90,7 @@
         let mut text = String::new();
         match encode(&mut text, &self.0.registry) {
             Ok(()) => text,
-            Err(e) => format!("# failed to encode the metrics: {e}\n"),
+            Err(e) => format!("# the figures can't be written: {e}\n"),
         }
     }
 }
--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -16,7 +16,7 @@
     /// The platform's store.
     pub store: Store,
     /// Tasks of the request log's shards.
-    pub logs: LogTasks,
+    pub log_tasks: LogTasks,
     /// Pending entries, in the order of their next submission.
     pub(super) pending: Mutex<VecDeque<Entry>>,
     /// Held while a batch is submitted, so that only one is at a time.
@@ -29,7 +29,7 @@
         Billing {
             fleet,
             store,
-            logs: LogTasks::default(),
+            log_tasks: LogTasks::default(),
             pending: Mutex::default(),
             batch_lock: tokio::sync::Mutex::default(),
         }
--- a/crates/daemon/src/bill/log_tasks.rs
+++ b/crates/daemon/src/bill/log_tasks.rs
@@ -33,15 +33,15 @@
 /// Tasks of the log shards that this daemon has appended to.
 #[derive(Debug, Default)]
 pub struct LogTasks {
-    pub(super) shards: Mutex<HashMap<u32, mpsc::UnboundedSender<Message>>>,
+    pub(super) tasks: Mutex<HashMap<u32, mpsc::UnboundedSender<Message>>>,
 }
 
 impl LogTasks {
     /// Returns the states of the log shards, by shard.
     pub async fn dump(&self) -> HashMap<u32, LogDump> {
-        let shards: Vec<_> = self.shards.lock().iter().map(|(n, tx)| (*n, tx.clone())).collect();
+        let tasks: Vec<_> = self.tasks.lock().iter().map(|(n, tx)| (*n, tx.clone())).collect();
         let mut dumps = HashMap::new();
-        for (shard, log) in shards {
+        for (shard, log) in tasks {
             let (tx, rx) = oneshot::channel();
             if log.send(Message::Dump(tx)).is_ok()
                 && let Ok(dump) = rx.await
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -53,14 +53,14 @@
 
 /// Returns the channel to the task of a shard, starting the task if necessary.
 fn log_task(billing: &Arc<Billing>, shard: u32) -> mpsc::UnboundedSender<Message> {
-    let mut shards = billing.logs.shards.lock();
-    let log = shards.entry(shard).or_insert_with(|| {
+    let mut tasks = billing.log_tasks.tasks.lock();
+    let log = tasks.entry(shard).or_insert_with(|| {
         let (tx, rx) = mpsc::unbounded_channel();
         let task = LogTask {
             shard,
             billing: Arc::downgrade(billing),
             tx: tx.downgrade(),
-            tickets: PendingReplies::default(),
+            pending_replies: PendingReplies::default(),
         };
         tokio::spawn(task.run(RequestLog::new(billing.fleet.base.cfg.limits.log_append_ms), rx));
         tx
@@ -73,17 +73,17 @@
     shard: u32,
     billing: Weak<Billing>,
     tx: mpsc::WeakUnboundedSender<Message>,
-    tickets: PendingReplies<Outcome>,
+    pending_replies: PendingReplies<Outcome>,
 }
 
 impl LogTask {
     async fn run(mut self, mut machine: RequestLog, mut rx: mpsc::UnboundedReceiver<Message>) {
-        while let Some(mail) = rx.recv().await {
+        while let Some(message) = rx.recv().await {
             let Some(billing) = self.billing.upgrade() else { return };
-            let event = match mail {
+            let event = match message {
                 Message::Event(event) => event,
                 Message::Submitted(entry, reply) => {
-                    Event::Submitted(self.tickets.add(reply), entry)
+                    Event::Submitted(self.pending_replies.add(reply), entry)
                 }
                 Message::Dump(reply) => {
                     let dump = LogDump {
@@ -119,7 +119,7 @@
                         event(append(Arc::clone(billing), self.shard, number, segment)),
                     );
                 }
-                Command::Answer(ticket, outcome) => self.tickets.answer(ticket, outcome),
+                Command::Answer(ticket, outcome) => self.pending_replies.answer(ticket, outcome),
                 Command::WakeAt(at) => {
                     wake_at = Some(wake_at.map_or(at, |earlier| earlier.min(at)));
                 }
--- a/crates/daemon/src/budget/allotment.rs
+++ b/crates/daemon/src/budget/allotment.rs
@@ -29,7 +29,7 @@
     let try_now = || budgets.holder().allot(&request, arrived);
     let allotted = match try_now() {
         Ok(allotted) => Ok(allotted),
-        Err(_) if budgets.fleet.connectivity.is_store_away(arrived) => {
+        Err(_) if budgets.fleet.connectivity.is_store_unavailable(arrived) => {
             // A draw would fail: the requester turns to the next owner at once, and a peer
             // that reaches the store draws for this daemon in the meantime.
             budgets.holder().record_unmet(&request);
@@ -54,7 +54,7 @@
 fn exceeded_ration(budgets: &Budgets, request: &TokenRequest) -> Option<Tokens> {
     let demand = request.demand?;
     let now = budgets.fleet.base.clock.now();
-    let is_away = budgets.fleet.connectivity.is_store_away(now);
-    let ration = budgets.holder().ration_for(&request.budget, &demand, is_away, now);
+    let is_store_unavailable = budgets.fleet.connectivity.is_store_unavailable(now);
+    let ration = budgets.holder().ration_for(&request.budget, &demand, is_store_unavailable, now);
     (demand.tokens > ration).then_some(ration)
 }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -136,9 +136,9 @@
     let (own_incarnation, incarnation) = (budgets.fleet.base.incarnation, holder.incarnation);
     let received = budgets.holder().received_from(budget, incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
-    let wanted = budget.clone();
+    let budget_name = budget.clone();
     let call = |client: PeerServiceClient, cx| async move {
-        client.give(cx, wanted, incarnation, own_incarnation, received, Tokens::MAX).await
+        client.give(cx, budget_name, incarnation, own_incarnation, received, Tokens::MAX).await
     };
     match budgets.fleet.base.peers.call(&holder.address, timeout, call).await {
         Some(GiveAnswer::Sent { cumulative, reserved }) => {
--- a/crates/daemon/src/budget/hand_over.rs
+++ b/crates/daemon/src/budget/hand_over.rs
@@ -21,8 +21,9 @@
 /// Transfers all free tokens to a peer, if the store is unreachable and a peer is known.
 pub async fn hand_over(budgets: &Arc<Budgets>) {
     // With witnesses, grants are sealed and the owner reclaims them.
-    let is_needed = budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now());
-    if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_needed {
+    let is_store_unavailable =
+        budgets.fleet.connectivity.is_store_unavailable(budgets.fleet.base.clock.now());
+    if budgets.fleet.base.cfg.limits.witnesses > 0 || !is_store_unavailable {
         return;
     }
     let peers = budgets.fleet.members.lock().sample(usize::MAX, RECEIVER_SEED);
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -42,7 +42,7 @@
             shard,
             budgets: Arc::downgrade(budgets),
             tx: tx.downgrade(),
-            tickets: PendingReplies::default(),
+            pending_replies: PendingReplies::default(),
             reported_version: None,
         };
         let limits = &budgets.fleet.base.cfg.limits;
@@ -63,21 +63,21 @@
     shard: u32,
     budgets: Weak<Budgets>,
     tx: mpsc::WeakUnboundedSender<Message>,
-    tickets: PendingReplies<OwnerAnswer>,
+    pending_replies: PendingReplies<OwnerAnswer>,
     /// Version of the shard that was last reported to the holder.
     reported_version: Option<u64>,
 }
 
 impl OwnerTask {
     async fn run(mut self, mut machine: Owner, mut rx: mpsc::UnboundedReceiver<Message>) {
-        while let Some(mail) = rx.recv().await {
+        while let Some(message) = rx.recv().await {
             let Some(budgets) = self.budgets.upgrade() else { return };
-            let event = match mail {
+            let event = match message {
                 Message::Event(event) => event,
                 Message::Request(request, reply) => {
                     machine.enqueue(
                         budgets.fleet.base.clock.now(),
-                        self.tickets.add(reply),
+                        self.pending_replies.add(reply),
                         request,
                     );
                     if !rx.is_empty() {
@@ -128,7 +128,7 @@
                     send_result(&self.tx, event(gather(Arc::clone(budgets), budget, holders)));
                 }
                 Command::Reply(ticket, reply) => {
-                    self.tickets.answer(ticket, OwnerAnswer { reply, sent: None });
+                    self.pending_replies.answer(ticket, OwnerAnswer { reply, sent: None });
                 }
                 Command::Transfer { own_grant, ticket, draw, max, reply } => {
                     if let Some((granted, opened)) = own_grant {
@@ -137,7 +137,7 @@
                         holder.record_opened(&draw.budget, opened);
                     }
                     let answer = transfer(budgets, &draw, max, reply);
-                    self.tickets.answer(ticket, answer);
+                    self.pending_replies.answer(ticket, answer);
                 }
                 Command::WakeAt(at) => {
                     wake_at = Some(wake_at.map_or(at, |earlier| earlier.min(at)));
@@ -193,7 +193,7 @@
 
 /// Reads a shard from the store.
 async fn load(budgets: Arc<Budgets>, shard: u32) -> Event {
-    if budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now()) {
+    if budgets.fleet.connectivity.is_store_unavailable(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
     }
     match budgets.store.read::<Shard>(Kind::Budgets, &shard_name(shard)).await {
@@ -212,7 +212,7 @@
 
 /// Writes a shard to the store if it is still at this version.
 async fn write(budgets: Arc<Budgets>, shard: u32, version: u64, value: Shard) -> Event {
-    if budgets.fleet.connectivity.is_store_away(budgets.fleet.base.clock.now()) {
+    if budgets.fleet.connectivity.is_store_unavailable(budgets.fleet.base.clock.now()) {
         return Event::StoreUnavailable;
     }
     let outcome = budgets.store.write(Kind::Budgets, &shard_name(shard), version, &value).await;
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -77,7 +77,7 @@
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let owner = owners_to_ask(budgets, budget).into_iter().next();
-    if owner.is_none() && budgets.fleet.connectivity.is_store_away(now) {
+    if owner.is_none() && budgets.fleet.connectivity.is_store_unavailable(now) {
         // Tokens that are debited but not reported would be unusable until the store returns.
         return;
     }
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -1,11 +1,11 @@
 //! Detection and blocking of requests that crash their servers: runs the crash tracker of core.
 //!
-//! `verify` checks whether a disconnected server has crashed, `exchange` exchanges crash facts with
+//! `verify` checks whether a disconnected server has crashed, `gossip` exchanges crash facts with
 //! peers, `persistence` stores blocks so that they survive the loss of all daemons, and `isolation`
 //! decides before each attempt whether a request has to wait or may run only once more. The `api`
 //! and `entry` layers report how each attempt ended.
 
-pub mod exchange;
+pub mod gossip;
 pub mod isolation;
 pub mod persistence;
 mod verify;
@@ -27,7 +27,7 @@
 
 use crate::crashes::isolation::IsolatedRuns;
 use crate::fleet::Fleet;
-use crate::fleet::query_throttle::QueryThrottle;
+use crate::fleet::fetch_throttle::FetchThrottle;
 
 /// Number of daemons responsible for a request: they store a block of it that a peer reported, and
 /// send it if it may run only once more.
@@ -45,7 +45,7 @@
     /// by each of twelve heartbeats a second.
     digest: AtomicU64,
     /// Updates to send to peers next, with the time at which each was recorded.
-    updates: Mutex<Vec<(Millis, CrashFacts)>>,
+    unsent_facts: Mutex<Vec<(Millis, CrashFacts)>>,
     /// Notified when there are such updates.
     to_send: Notify,
     /// Notified when requests are waiting for a decision.
@@ -55,7 +55,7 @@
     /// Notified when blocks have to be written to the store.
     to_persist: Notify,
     /// Limits how often the facts of peers are requested.
-    fetch_pause: QueryThrottle,
+    fetch_throttle: FetchThrottle,
 }
 
 impl Crashes {
@@ -68,12 +68,12 @@
             tracker: Mutex::default(),
             is_active: AtomicBool::new(false),
             digest: AtomicU64::new(0),
-            updates: Mutex::default(),
+            unsent_facts: Mutex::default(),
             to_send: Notify::new(),
             to_decide: Notify::new(),
             isolated_runs: IsolatedRuns::default(),
             to_persist: Notify::new(),
-            fetch_pause: QueryThrottle::default(),
+            fetch_throttle: FetchThrottle::default(),
         }
     }
 
@@ -107,13 +107,13 @@
 
     /// Returns where a suspect or isolated request has to run; `None` if it may run anywhere.
     pub fn placement(&self, request: impl FnOnce() -> Fingerprint) -> Option<Placement> {
-        let place = self.read(|tracker| {
+        let placement = self.read(|tracker| {
             let request = request();
             let is_placed =
                 matches!(tracker.verdict(request), Verdict::Suspect | Verdict::Isolated);
             is_placed.then(|| tracker.placement(request))
         });
-        place.flatten()
+        placement.flatten()
     }
 
     /// Records that the connection to a server that was running a request broke, and checks whether
@@ -206,7 +206,7 @@
         if !updates.blocks.is_empty() && (is_local || self.is_responsible_for_any(updates)) {
             self.to_persist.notify_one();
         }
-        self.queue_updates(updates);
+        self.queue_facts(updates);
     }
 
     /// Logs and counts new facts.
--- a/crates/daemon/src/crashes/exchange.rs
+++ b/crates/daemon/src/crashes/gossip.rs
@@ -13,12 +13,12 @@
 
 /// Number of peers to which new facts are sent at once. Each forwards what is new to it, so that
 /// 300 daemons know of a crash after some five rounds; heartbeats reach those that were missed.
-const SAMPLE_SIZE: usize = 6;
+const FANOUT: usize = 6;
 
 /// Time for which updates are batched before they are sent: hosts detect a crash on each of its
 /// connections, one after the other. Sent one by one, the updates of a crash with 20 running
 /// requests take 10,000 calls in a fleet of 87 (computed).
-const BATCH_DELAY: Duration = Duration::from_millis(50);
+const BATCH_WINDOW: Duration = Duration::from_millis(50);
 
 /// Minimum interval between two requests for all facts of a peer, in milliseconds. An answer takes
 /// up to some 500 kB when many requests crash servers.
@@ -26,34 +26,34 @@
 
 impl Crashes {
     /// Queues updates that are sent to peers with the next batch.
-    pub(super) fn queue_updates(&self, updates: &CrashFacts) {
-        self.updates.lock().push((self.fleet.base.clock.now(), updates.clone()));
+    pub(super) fn queue_facts(&self, updates: &CrashFacts) {
+        self.unsent_facts.lock().push((self.fleet.base.clock.now(), updates.clone()));
         self.to_send.notify_one();
     }
 
     /// Sends batches of updates to a sample of the peers, until the daemon ends.
-    pub async fn send_updates(self: Arc<Self>) {
+    pub async fn send_facts(self: Arc<Self>) {
         loop {
             tokio::select! {
                 () = self.to_send.notified() => {}
                 () = self.fleet.base.shutdown.cancelled() => return,
             }
-            tokio::time::sleep(BATCH_DELAY).await;
-            let gathered = std::mem::take(&mut *self.updates.lock());
+            tokio::time::sleep(BATCH_WINDOW).await;
+            let unsent = std::mem::take(&mut *self.unsent_facts.lock());
             let now = self.fleet.base.clock.now();
             let mut updates = CrashFacts::default();
-            for (at, facts) in gathered {
+            for (at, facts) in unsent {
                 // With too low an age, a block would outlive the clearance that lifted it.
                 updates.merge(&facts.aged(now.saturating_sub(at)));
             }
-            self.send_to_sample(&updates);
+            self.send_batch(&updates);
         }
     }
 
     /// Sends updates to a random sample of the peers.
-    fn send_to_sample(self: &Arc<Self>, updates: &CrashFacts) {
+    fn send_batch(self: &Arc<Self>, updates: &CrashFacts) {
         let timeout = Duration::from_millis(self.fleet.base.cfg.limits.peer_timeout_ms);
-        let peers = self.fleet.members.lock().sample(SAMPLE_SIZE, rand::random());
+        let peers = self.fleet.members.lock().sample(FANOUT, rand::random());
         for peer in peers {
             let (crashes, updates) = (Arc::clone(self), updates.clone());
             tokio::spawn(async move {
@@ -94,11 +94,11 @@
     }
 
     /// Compares the digest in a peer's heartbeat, and fetches the peer's facts if it differs.
-    pub fn compare_digest(self: &Arc<Self>, address: &str, peer_digest: u64) {
+    pub fn fetch_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
         if peer_digest == 0 || peer_digest == self.digest() {
             return;
         }
-        if !self.fetch_pause.try_acquire(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
+        if !self.fetch_throttle.try_acquire(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
             return;
         }
         let (crashes, address) = (Arc::clone(self), address.to_owned());
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -4,9 +4,9 @@
 //! forwards requests of the platform's callers to its listed servers and returns the answers;
 //! a [`Wire`] reads and writes the platform's headers.
 
-pub mod admitted;
+pub mod admission;
 pub mod attempt;
-pub mod backends;
+pub mod backend;
 pub mod call;
 pub mod charge;
 pub mod forward;
@@ -27,7 +27,7 @@
 use parking_lot::Mutex;
 
 use crate::base::config::entry::EntrySettings;
-use crate::entry::backends::Backends;
+use crate::entry::backend::BackendClient;
 use crate::requests::RequestContext;
 use crate::view::View;
 
@@ -40,7 +40,7 @@
     /// Wire format of the platform.
     pub wire: Arc<dyn Wire>,
     /// Connections to backend servers.
-    pub backends: Backends,
+    pub backend_client: BackendClient,
     /// This daemon's retry budget.
     pub retries: Mutex<RetryBudget>,
     /// Reservations of this host's link; `None` when the settings do not give its bandwidth.
@@ -63,7 +63,7 @@
         settings: EntrySettings,
     ) -> Arc<Self> {
         Arc::new(Entry {
-            backends: Backends::new(),
+            backend_client: BackendClient::new(),
             retries: Mutex::new(RetryBudget::new(settings.retry_allowance())),
             link: Mutex::new(settings.link_mbps.map(Link::new)),
             requests,
--- a/crates/daemon/src/entry/admitted.rs
+++ b/crates/daemon/src/entry/admission.rs
@@ -25,14 +25,14 @@
 const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// A request that may be sent to a server.
-pub struct Admitted {
+pub struct AdmittedCall {
     /// The request.
     pub call: Call,
     /// Its charge to the budget.
     pub charge: Charge,
 }
 
-impl Admitted {
+impl AdmittedCall {
     /// Admits a request. Waits while it is checked whether the request has crashed servers, and
     /// for tokens of its budget.
     ///
@@ -43,7 +43,7 @@
         let charge = reserve_charge(&call).await?;
         let now = call.entry.requests.base.clock.now();
         call.entry.retries.lock().record_request(&call.plan.service, now);
-        Ok(Admitted { call, charge })
+        Ok(AdmittedCall { call, charge })
     }
 }
 
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use crate::crashes;
-use crate::entry::backends::SendError;
+use crate::entry::backend::SendError;
 use crate::entry::call::Call;
 use crate::entry::charge::Charge;
 use crate::hints::permit::Permit;
@@ -58,7 +58,7 @@
     let entry = Arc::clone(&call.entry);
     let choice = permit.choice().clone();
     let mut open_request = OpenRequest::new(&entry.requests, &choice, call.prompt_tokens());
-    let outgoing = call.outgoing(&choice, resume_after);
+    let backend_request = call.backend_request(&choice, resume_after);
     let may_have_run_before = call.may_have_run;
     charge.record_sent();
     call.tried_servers.push(choice.server.clone());
@@ -66,7 +66,8 @@
     call.link.record_head();
     let clock = &entry.requests.base.clock;
     let sent_at = clock.now();
-    let answer = clock.timeout_at(call.deadline, entry.backends.send(permit, outgoing)).await;
+    let answer =
+        clock.timeout_at(call.deadline, entry.backend_client.send(permit, backend_request)).await;
     let res = match answer {
         None => {
             call.may_have_run = true;
--- a/crates/daemon/src/entry/backends.rs
+++ b/crates/daemon/src/entry/backend.rs
@@ -32,7 +32,7 @@
 
 /// Request to one server; the body is shared by all attempts.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct BackendRequest {
     /// Method.
     pub method: Method,
     /// Path and query as the caller wrote them.
@@ -62,7 +62,7 @@
 
 /// HTTP client for all backend servers.
 #[derive(Debug)]
-pub struct Backends {
+pub struct BackendClient {
     /// Client for servers of which only one start is known.
     shared: HttpClient,
     /// Latest start of the server at each address.
@@ -92,10 +92,10 @@
         .build(connector)
 }
 
-impl Backends {
+impl BackendClient {
     /// Creates a client without connections.
     pub fn new() -> Self {
-        Backends { shared: new_client(), starts: Mutex::default() }
+        BackendClient { shared: new_client(), starts: Mutex::default() }
     }
 
     /// Returns the client for this start of a server.
@@ -121,19 +121,19 @@
     pub async fn send(
         &self,
         permit: Permit,
-        outgoing: Outgoing,
+        backend_request: BackendRequest,
     ) -> Result<Response<Incoming>, SendError> {
         let choice = permit.consume()?;
         let uri = Uri::builder()
             .scheme(Scheme::HTTP)
             .authority(choice.address.as_str())
-            .path_and_query(outgoing.path)
+            .path_and_query(backend_request.path)
             .build()
             .map_err(|e| SendError::NotConnected(e.to_string()))?;
-        let mut req = Request::new(Full::new(outgoing.body));
-        *req.method_mut() = outgoing.method;
+        let mut req = Request::new(Full::new(backend_request.body));
+        *req.method_mut() = backend_request.method;
         *req.uri_mut() = uri;
-        *req.headers_mut() = outgoing.headers;
+        *req.headers_mut() = backend_request.headers;
         let client = self.client_for(&choice.address, choice.started_ms);
         client.request(req).await.map_err(|e| {
             if e.is_connect() {
@@ -151,8 +151,8 @@
     sources.fold(e.to_string(), |text, cause| format!("{text}: {cause}"))
 }
 
-impl Default for Backends {
+impl Default for BackendClient {
     fn default() -> Self {
-        Backends::new()
+        BackendClient::new()
     }
 }
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -15,7 +15,7 @@
 
 use crate::crashes::isolation::IsolatedRun;
 use crate::entry::Entry;
-use crate::entry::backends::Outgoing;
+use crate::entry::backend::BackendRequest;
 use crate::entry::link_reservation::LinkReservation;
 use crate::entry::plan::Plan;
 use crate::entry::refusal::Refusal;
@@ -217,10 +217,10 @@
     /// [`NoServer`] when no server is available.
     fn choose(&self) -> Result<Choice, NoServer> {
         let seed = rand::random();
-        let place = self.entry.requests.crashes.placement(|| self.fingerprint());
+        let placement = self.entry.requests.crashes.placement(|| self.fingerprint());
         let request = RoutingRequest {
             pool: self.plan.service.as_str(),
-            prefix: place.map_or_else(|| self.affinity_or(seed), |place| place.key),
+            prefix: placement.map_or_else(|| self.affinity_or(seed), |placement| placement.key),
             prompt_tokens: self.prompt_tokens(),
             hour: 0,
             seed,
@@ -228,7 +228,7 @@
             homes: Homes { route: &self.plan.route.homes, workspace: &self.plan.workspace_homes },
         };
         let requests = &self.entry.requests;
-        let rank = place.map_or(0, |place| place.rank);
+        let rank = placement.map_or(0, |placement| placement.rank);
         requests.router.lock().choose_ranked(requests.base.clock.now(), &request, rank)
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the request to send to this server. `resume_after` is the last event that the
     /// caller has received.
-    pub fn outgoing(&self, choice: &Choice, resume_after: Option<u64>) -> Outgoing {
+    pub fn backend_request(&self, choice: &Choice, resume_after: Option<u64>) -> BackendRequest {
         let time_left = self.entry.requests.base.clock.time_until(self.deadline);
         let dispatch = Dispatch {
             server: &choice.server,
@@ -249,7 +249,7 @@
             urgency: None,
             resume_after,
         };
-        Outgoing {
+        BackendRequest {
             method: self.method.clone(),
             path: self.path.clone(),
             headers: self.entry.wire.request_headers(&self.headers, &dispatch),
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 
-use crate::entry::admitted::Admitted;
+use crate::entry::admission::AdmittedCall;
 use crate::entry::attempt::{AttemptOutcome, BufferedAnswer, attempt, log_ended};
 use crate::entry::refusal::Refusal;
 use crate::entry::relay::Relay;
@@ -22,8 +22,8 @@
 ///
 /// # Errors
 /// The [`Refusal`] that the caller receives.
-pub async fn forward(admitted: Admitted) -> Result<Answer, Refusal> {
-    let Admitted { mut call, mut charge } = admitted;
+pub async fn forward(admitted: AdmittedCall) -> Result<Answer, Refusal> {
+    let AdmittedCall { mut call, mut charge } = admitted;
     let mut error_answer = None;
     let mut no_server = NoServer::NoneUsable;
     loop {
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -14,7 +14,7 @@
 use slog::o;
 
 use crate::entry::Entry;
-use crate::entry::admitted::Admitted;
+use crate::entry::admission::AdmittedCall;
 use crate::entry::call::Call;
 use crate::entry::forward::{Answer, forward};
 use crate::entry::link_reservation::LinkReservation;
@@ -100,7 +100,7 @@
     let incoming = incoming.map_err(|e| log_refusal(e.into(), None))?;
     let read = read_call(entry, req, incoming.clone(), arrived_at).await;
     let call = read.map_err(|refusal| log_refusal(refusal, Some(&incoming)))?;
-    let admitted = Admitted::admit(call).await;
+    let admitted = AdmittedCall::admit(call).await;
     let admitted = admitted.map_err(|refusal| log_refusal(refusal, Some(&incoming)))?;
     forward(admitted).await.map_err(|refusal| log_refusal(refusal, Some(&incoming)))
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -5,7 +5,7 @@
 //! maintain this state, are in `membership`.
 
 pub mod connectivity;
-pub mod query_throttle;
+pub mod fetch_throttle;
 pub mod suspension;
 
 use std::sync::Arc;
@@ -141,7 +141,7 @@
             pause
         } else if self.is_in_startup_wait() {
             STARTUP_POLL
-        } else if self.connectivity.is_store_away(self.base.clock.now()) {
+        } else if self.connectivity.is_store_unavailable(self.base.clock.now()) {
             UNAVAILABLE_POLL
         } else {
             return WatchStep::ReadStore;
--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct State {
     store_answered_at: Option<Millis>,
-    store_lost: bool,
+    marked_unavailable: bool,
     store_paused_until: Millis,
     heartbeats: VecDeque<bool>,
     view: Freshness,
@@ -57,7 +57,7 @@
     pub fn record_store_answer(&self, now: Millis) {
         let mut state = self.state.lock();
         state.store_answered_at = Some(now);
-        state.store_lost = false;
+        state.marked_unavailable = false;
         state.store_paused_until = 0;
     }
 
@@ -99,13 +99,13 @@
     /// Records that the watch of the store failed. Until the store answers again, only the watch
     /// calls it: calls of an unavailable store are charged too.
     pub fn mark_store_unavailable(&self) {
-        self.state.lock().store_lost = true;
+        self.state.lock().marked_unavailable = true;
     }
 
     /// Records that this daemon now learns of changes from peers instead of watching the store.
     /// Other calls may then show whether the store is available.
     pub fn clear_store_unavailable(&self) {
-        self.state.lock().store_lost = false;
+        self.state.lock().marked_unavailable = false;
     }
 
     /// Records that a single call failed; the store is not called for a short time.
@@ -114,9 +114,9 @@
     }
 
     /// Whether the store counts as unavailable and should not be called now.
-    pub fn is_store_away(&self, now: Millis) -> bool {
+    pub fn is_store_unavailable(&self, now: Millis) -> bool {
         let state = self.state.lock();
-        state.store_lost || now < state.store_paused_until
+        state.marked_unavailable || now < state.store_paused_until
     }
 
     /// Records that the store answered a peer, or a daemon that the peer is in contact with, this
--- a/crates/daemon/src/fleet/query_throttle.rs
+++ b/crates/daemon/src/fleet/fetch_throttle.rs
@@ -6,19 +6,19 @@
 
 /// Enforces a minimum interval between queries whose responses may be large.
 #[derive(Debug, Default)]
-pub struct QueryThrottle {
+pub struct FetchThrottle {
     /// Time of the last query; 0 before the first.
-    last_query_at: AtomicU64,
+    last_fetch_at: AtomicU64,
 }
 
-impl QueryThrottle {
+impl FetchThrottle {
     /// Returns whether a query may be sent now, at least `min_interval` milliseconds after the last
     /// one; if so, records it as sent.
     pub fn try_acquire(&self, now: Millis, min_interval: Millis) -> bool {
-        let last_query_at = self.last_query_at.load(Ordering::Relaxed);
-        let is_allowed = last_query_at == 0 || now.saturating_sub(last_query_at) >= min_interval;
+        let last_fetch_at = self.last_fetch_at.load(Ordering::Relaxed);
+        let is_allowed = last_fetch_at == 0 || now.saturating_sub(last_fetch_at) >= min_interval;
         if is_allowed {
-            self.last_query_at.store(now.max(1), Ordering::Relaxed);
+            self.last_fetch_at.store(now.max(1), Ordering::Relaxed);
         }
         is_allowed
     }
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::Fleet;
-use crate::fleet::query_throttle::QueryThrottle;
+use crate::fleet::fetch_throttle::FetchThrottle;
 
 /// Capacity of the queue of facts to send to peers. Facts that don't fit reach peers by heartbeats.
 const FACT_QUEUE_CAPACITY: usize = 4_096;
@@ -45,7 +45,7 @@
     leases: Mutex<Leases>,
     retry_schedule: Mutex<RetrySchedule>,
     /// Last [`bankcove_core::members::Members::digest`], and since when it is the current one.
-    membership: Mutex<(u64, Millis)>,
+    members_digest: Mutex<(u64, Millis)>,
     /// Issuers that did not answer, and the times until which they are skipped.
     unresponsive: Mutex<HashMap<Name, Millis>>,
     /// Servers with a hint that could not be parsed, which is logged once for each server.
@@ -59,10 +59,10 @@
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
     /// Limits how often facts are requested from peers.
-    pull_pause: QueryThrottle,
+    fetch_throttle: FetchThrottle,
     /// Queue of facts to send to peers.
     fact_queue: mpsc::Sender<HintFact>,
-    /// Receiver of that queue; taken by [`gossip::spawn_gossip`].
+    /// Receiver of that queue; taken by [`gossip::spawn_sender`].
     fact_receiver: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
 
@@ -77,14 +77,14 @@
             issuer: Mutex::default(),
             leases: Mutex::default(),
             retry_schedule: Mutex::default(),
-            membership: Mutex::default(),
+            members_digest: Mutex::default(),
             unresponsive: Mutex::default(),
             unreadable: Mutex::default(),
             has_limits: AtomicBool::new(false),
             has_closed: AtomicBool::new(false),
             limits_digest: AtomicU64::new(0),
             leaving_digest: AtomicU64::new(0),
-            pull_pause: QueryThrottle::default(),
+            fetch_throttle: FetchThrottle::default(),
             fact_queue,
             fact_receiver: Mutex::new(Some(fact_receiver)),
         }
@@ -143,7 +143,7 @@
     fn membership_since(&self) -> Millis {
         let digest = self.fleet.members.lock().digest();
         let now = self.fleet.base.clock.now();
-        let mut membership = self.membership.lock();
+        let mut membership = self.members_digest.lock();
         if membership.0 != digest {
             *membership = (digest, now);
         }
--- a/crates/daemon/src/hints/gossip.rs
+++ b/crates/daemon/src/hints/gossip.rs
@@ -28,10 +28,10 @@
 
 /// Maximum number of facts of each kind in the answer to a pull. A daemon that starts during a
 /// release knows all of them within seconds.
-const MAX_PULLED_FACTS: usize = 512;
+const MAX_FETCHED_FACTS: usize = 512;
 
 /// Minimum interval between two pulls, in milliseconds.
-const PULL_INTERVAL_MS: Millis = 1_000;
+const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 
 /// Timeout for calls: it limits the transit time, which ages in facts don't include, to
 /// [`MAX_TRANSIT_MS`].
@@ -43,7 +43,7 @@
 
 /// Starts the task that sends new facts to some peers, which forward them to others until no daemon
 /// finds them new. Does nothing if it was called before.
-pub fn spawn_gossip(hints: &Hints) {
+pub fn spawn_sender(hints: &Hints) {
     if let Some(queue) = hints.fact_receiver.lock().take() {
         tokio::spawn(send_facts(hints.fleet.clone(), queue));
     }
@@ -84,13 +84,13 @@
 }
 
 impl Hints {
-    /// Returns the known facts for a peer: at most `MAX_PULLED_FACTS` of each kind, from a random
+    /// Returns the known facts for a peer: at most `MAX_FETCHED_FACTS` of each kind, from a random
     /// offset on.
     pub fn facts(&self) -> Vec<HintFact> {
         let now = self.fleet.base.clock.now();
         let offset = rand::random_range(0..usize::MAX);
-        let limits = self.limits.lock().facts(now, MAX_PULLED_FACTS, offset);
-        let leaving = self.router.lock().leaving_facts(now, MAX_PULLED_FACTS, offset);
+        let limits = self.limits.lock().facts(now, MAX_FETCHED_FACTS, offset);
+        let leaving = self.router.lock().leaving_facts(now, MAX_FETCHED_FACTS, offset);
         let limits = limits.into_iter().map(HintFact::Limit);
         limits.chain(leaving.into_iter().map(HintFact::Leaving)).collect()
     }
@@ -101,12 +101,12 @@
     }
 
     /// Compares the digest in a peer's heartbeat with this daemon's; if they differ, requests the
-    /// peer's facts and merges them, at most once in `PULL_INTERVAL_MS`.
-    pub fn pull_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
+    /// peer's facts and merges them, at most once in `MIN_FETCH_INTERVAL_MS`.
+    pub fn fetch_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
         if peer_digest == self.digest() {
             return;
         }
-        if !self.pull_pause.try_acquire(self.fleet.base.clock.now(), PULL_INTERVAL_MS) {
+        if !self.fetch_throttle.try_acquire(self.fleet.base.clock.now(), MIN_FETCH_INTERVAL_MS) {
             return;
         }
         let (hints, address) = (Arc::clone(self), address.to_owned());
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -14,7 +14,7 @@
 use crate::error::{Error, Result};
 
 /// A running HTTP server.
-pub struct HttpServer {
+pub struct HttpListener {
     /// Stops the server.
     pub handle: ServerHandle,
     /// Completes when the server has stopped.
@@ -25,14 +25,14 @@
 ///
 /// # Errors
 /// [`Error::Listen`] if the address can't be bound.
-pub async fn serve(address: &str, router: Router) -> Result<HttpServer> {
+pub async fn serve(address: &str, router: Router) -> Result<HttpListener> {
     let acceptor = TcpAcceptor::try_from(tcp::listen(address)?);
     let acceptor =
         acceptor.map_err(|source| Error::Listen { address: address.to_owned(), source })?;
     let server = Server::new(acceptor);
     let handle = server.handle();
     let task = tokio::spawn(async move { server.serve(router).await });
-    Ok(HttpServer { handle, task })
+    Ok(HttpListener { handle, task })
 }
 
 /// Reads a request body within the size and time limits of the settings.
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -25,7 +25,7 @@
 use crate::entry::{self, Entry};
 use crate::error::{Error, Result};
 use crate::fleet::suspension;
-use crate::http::{HttpServer, serve};
+use crate::http::{HttpListener, serve};
 use crate::membership::{self, unread_reports};
 use crate::view::{hall_sync, host_list, server_sync, table_sync};
 use crate::{hints, operator, peer_server};
@@ -96,7 +96,7 @@
         Adapter::Own => Store::new(Client::new(&cfg.store)),
         Adapter::Objects => Store::new(ObjectStore::new(&cfg.store)),
     };
-    let running = Running::start(Daemon::with_store(cfg, log, store)?).await?;
+    let running = RunningDaemon::start(Daemon::with_store(cfg, log, store)?).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -109,13 +109,13 @@
 }
 
 /// A running daemon.
-pub struct Running {
+pub struct RunningDaemon {
     pub daemon: Arc<Daemon>,
     entry: Option<Arc<Entry>>,
-    listeners: Vec<HttpServer>,
+    listeners: Vec<HttpListener>,
 }
 
-impl Running {
+impl RunningDaemon {
     /// Starts all listeners and background tasks of a daemon.
     ///
     /// # Errors
@@ -157,8 +157,8 @@
         tokio::spawn(unread_reports::send_on_change(Arc::clone(&daemon.membership)));
         tokio::spawn(persistence::persist_blocks(Arc::clone(&daemon.crashes)));
         tokio::spawn(Arc::clone(&daemon.crashes).decide());
-        tokio::spawn(Arc::clone(&daemon.crashes).send_updates());
-        hints::gossip::spawn_gossip(&daemon.hints);
+        tokio::spawn(Arc::clone(&daemon.crashes).send_facts());
+        hints::gossip::spawn_sender(&daemon.hints);
         tokio::spawn(suspension::watch(daemon.fleet.clone()));
         tokio::spawn(table_sync::watch(Arc::clone(&daemon.view)));
         tokio::spawn(server_sync::watch(Arc::clone(&daemon.view)));
@@ -169,7 +169,7 @@
         tokio::spawn(async move { membership::contact_seed_peers(&membership).await });
         slog::info!(daemon.log, "serving";
             "incarnation" => %daemon.incarnation, "callers" => &daemon.cfg.caller_listen);
-        Ok(Running { daemon, entry: started, listeners })
+        Ok(RunningDaemon { daemon, entry: started, listeners })
     }
 
     /// Reloads the settings. Settings for serving callers take effect at once; addresses and all
@@ -202,7 +202,7 @@
                 entry::stop::drain(&daemon.requests, Duration::from_secs_f64(entry.stop_grace_s))
                     .await
             }
-            None => end_work(daemon, deadline).await,
+            None => drain(daemon, deadline).await,
         };
         // Announces to peers at once that this daemon accepts no new requests.
         let ((), retired) =
@@ -226,7 +226,7 @@
 
 /// Stops accepting requests and waits until those in flight have ended and their bills are
 /// recorded. Returns whether all requests have ended.
-async fn end_work(daemon: &Arc<Daemon>, deadline: Millis) -> bool {
+async fn drain(daemon: &Arc<Daemon>, deadline: Millis) -> bool {
     slog::info!(daemon.log, "stopping"; "in_flight" => daemon.requests.in_flight.len());
     daemon.requests.stopping.cancel();
     daemon.requests.in_flight.close();
@@ -239,7 +239,7 @@
 }
 
 /// Starts the listeners for a platform with a protocol of its own.
-async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<HttpServer>> {
+async fn start_entry(daemon: &Arc<Daemon>, entry: Arc<Entry>) -> Result<Vec<HttpListener>> {
     let mut listeners = Vec::new();
     if let Some(address) = &entry.settings.metrics_listen {
         listeners.push(serve(address, operator::metrics_router(Arc::clone(daemon))).await?);
@@ -276,11 +276,12 @@
         let list = daemon.view.hosts.load_full();
         let is_known_missing = list.is_read_since(known_since);
         let is_listed = list.contains_since(&host, known_since);
-        let is_away = daemon.fleet.connectivity.is_store_away(daemon.clock.now());
+        let is_store_unavailable =
+            daemon.fleet.connectivity.is_store_unavailable(daemon.clock.now());
         let mut pause = check_interval;
         if !is_listed && (is_known_missing || !is_announced) {
             pause = ANNOUNCE_RETRY_INTERVAL;
-            if !is_away {
+            if !is_store_unavailable {
                 is_announced = announce_host(&daemon, &host).await;
                 known_since = daemon.clock.now() as i64;
             }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -155,8 +155,8 @@
 /// Merges the parts of a heartbeat that are valid however long it was in transit.
 fn merge_heartbeat(membership: &Arc<Membership>, heartbeat: &Heartbeat) {
     hall_sync::merge_from_peer(&membership.view, &heartbeat.evacuated);
-    membership.crashes.compare_digest(&heartbeat.address, heartbeat.crashes_digest);
-    membership.hints.pull_if_digest_differs(&heartbeat.address, heartbeat.hints_digest);
+    membership.crashes.fetch_if_digest_differs(&heartbeat.address, heartbeat.crashes_digest);
+    membership.hints.fetch_if_digest_differs(&heartbeat.address, heartbeat.hints_digest);
     membership.fleet.members.lock().record_heartbeat(membership.fleet.base.clock.now(), heartbeat);
     membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns the daemon that handles the request.
-fn daemon(depot: &Depot) -> Arc<Daemon> {
+fn injected_daemon(depot: &Depot) -> Arc<Daemon> {
     let daemon = depot.obtain::<Arc<Daemon>>();
     Arc::clone(daemon.expect("the daemon is injected into every route"))
 }
@@ -76,7 +76,7 @@
     res: &mut Response,
     ctrl: &mut FlowCtrl,
 ) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let presented = admission::header(req, "authorization").and_then(|v| v.strip_prefix("Bearer "));
     let expected = daemon.cfg.operator_token.as_deref();
     let matches = |token| expected.is_some_and(|expected| tokens_match(token, expected));
@@ -89,13 +89,13 @@
 
 #[handler]
 async fn get_table(depot: &mut Depot, res: &mut Response) {
-    let table = daemon(depot).table.load_full();
+    let table = injected_daemon(depot).table.load_full();
     res.render(Json(table.map(|table| (*table).clone()).unwrap_or_default()));
 }
 
 #[handler]
 async fn post_edit(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let edit = match req.parse_json_with_max_size::<Edit>(MAX_BODY_BYTES).await {
         Ok(edit) => edit,
         Err(e) => {
@@ -134,7 +134,7 @@
 
 #[handler]
 async fn get_budget(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let name = Name::from(req.param::<String>("name").unwrap_or_default());
     let Some(row) = daemon.table.load().as_ref().and_then(|table| table.budget(&name).cloned())
     else {
@@ -155,7 +155,7 @@
 
 #[handler]
 async fn post_top_up(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let name = Name::from(req.param::<String>("name").unwrap_or_default());
     let known = daemon.table.load().as_ref().is_some_and(|table| table.budget(&name).is_some());
     if !known {
@@ -182,13 +182,13 @@
 /// Lists the blocked requests.
 #[handler]
 async fn get_blocked(depot: &mut Depot, res: &mut Response) {
-    res.render(Json(daemon(depot).crashes.blocks()));
+    res.render(Json(injected_daemon(depot).crashes.blocks()));
 }
 
 /// Lifts the block of a request on all daemons.
 #[handler]
 async fn lift_blocked(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let fingerprint: String = req.param("request").unwrap_or_default();
     let request = match fingerprint.parse() {
         Ok(request) => request,
@@ -208,28 +208,28 @@
 /// Lists the limits announced by servers, and this daemon's permits.
 #[handler]
 async fn get_limits(depot: &mut Depot, res: &mut Response) {
-    res.render(Json(daemon(depot).hints.dump()));
+    res.render(Json(injected_daemon(depot).hints.dump()));
 }
 
 /// Lists the state of each backend server on this daemon.
 #[handler]
 async fn get_servers(depot: &mut Depot, res: &mut Response) {
-    let daemon = daemon(depot);
+    let daemon = injected_daemon(depot);
     let statuses = daemon.router.lock().statuses(daemon.clock.now());
     res.render(Json(statuses));
 }
 
 #[handler]
 async fn get_status(depot: &mut Depot, res: &mut Response) {
-    res.render(Json(dump::status(&daemon(depot))));
+    res.render(Json(dump::status(&injected_daemon(depot))));
 }
 
 #[handler]
 async fn get_metrics(depot: &mut Depot, res: &mut Response) {
-    res.render(Text::Plain(daemon(depot).metrics.text()));
+    res.render(Text::Plain(injected_daemon(depot).metrics.text()));
 }
 
 #[handler]
 async fn get_dump(depot: &mut Depot, res: &mut Response) {
-    res.render(Json(dump::dump(&daemon(depot)).await));
+    res.render(Json(dump::dump(&injected_daemon(depot)).await));
 }
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -61,7 +61,7 @@
         "free": free,
         "holdings": holdings,
         "owners": daemon.budgets.owner_tasks.dump().await,
-        "request_log": daemon.billing.logs.dump().await,
+        "request_log": daemon.billing.log_tasks.dump().await,
         "servers": servers,
         "limits": daemon.hints.dump(),
         "crashes": daemon.crashes.facts(),
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -184,10 +184,10 @@
 pub async fn serve(daemon: Arc<Daemon>) -> Result<()> {
     let listener = tcp::listen(&daemon.cfg.peer_listen)?;
     tokio::spawn(async move {
-        let ended = daemon.shutdown.clone();
+        let shutdown = daemon.shutdown.clone();
         tokio::select! {
             () = accept_connections(&daemon, listener) => {}
-            () = ended.cancelled() => {}
+            () = shutdown.cancelled() => {}
         }
     });
     Ok(())
@@ -208,7 +208,7 @@
 
 /// Serves one peer until it closes the connection or the daemon ends.
 async fn serve_connection(daemon: Arc<Daemon>, stream: TcpStream) {
-    let ended = daemon.shutdown.clone();
+    let shutdown = daemon.shutdown.clone();
     let transport = tarpc::serde_transport::new(framed(stream), Bincode::default());
     let channel = BaseChannel::with_defaults(transport);
     let requests = channel.execute(PeerHandler { daemon }.serve()).for_each(|response| async {
@@ -216,6 +216,6 @@
     });
     tokio::select! {
         () = requests => {}
-        () = ended.cancelled() => {}
+        () = shutdown.cancelled() => {}
     }
 }
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -76,11 +76,11 @@
 async fn read_from_store_or_seeds(view: &Arc<View>) -> Option<HostList> {
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
-    let is_away = view.fleet.connectivity.is_store_away(asked_at);
+    let is_store_unavailable = view.fleet.connectivity.is_store_unavailable(asked_at);
     let waits_for_peers = view.fleet.store_read_policy().startup_wait() > 0;
-    if (is_known && waits_for_peers) || is_away {
+    if (is_known && waits_for_peers) || is_store_unavailable {
         let fetched = fetch_from_seed_peers(view).await;
-        if fetched.is_some() || is_away {
+        if fetched.is_some() || is_store_unavailable {
             return fetched;
         }
     }
