--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -28,7 +28,7 @@
 /// Response header with the value "1", sent by a server that is shutting down.
 const LEAVING_HEADER: &str = "x-server-leaving";
 
-/// Reason why a dispatch returned no response.
+/// Reason why sending a request returned no response.
 #[derive(Debug)]
 pub enum SendError {
     /// The request was not sent because its permit was no longer valid; no failure of the server.
@@ -71,12 +71,12 @@
 
 /// Body of the response with which an engine refuses a request.
 #[derive(Deserialize)]
-struct Refusal {
-    error: RefusalBody,
+struct EngineRefusal {
+    error: EngineError,
 }
 
 #[derive(Deserialize)]
-struct RefusalBody {
+struct EngineError {
     code: String,
     ran: bool,
 }
@@ -122,7 +122,7 @@
     if kind == ServerKind::Service || res.status() != StatusCode::SERVICE_UNAVAILABLE {
         return Ok(res);
     }
-    match res.json::<Refusal>().await {
+    match res.json::<EngineRefusal>().await {
         Ok(refusal) if !refusal.error.ran => Err(SendError::NotExecuted {
             proof: NotExecuted::refused_by_server(),
             leaving: refusal.error.code == "leaving",
