--- a/crates/daemon/src/api/admission.rs
+++ b/crates/daemon/src/api/admission.rs
@@ -179,7 +179,7 @@
 }
 
 /// Ends an attempt whose claim was not confirmed, and returns the response. The claim may have
-/// been written nevertheless, so it is released in the log, where it would block a retry.
+/// been written nevertheless, and would then block a retry, so it is released in the log.
 fn claim_unavailable_response(
     api: &Api,
     caller: &Caller,
--- a/crates/daemon/src/api/chat.rs
+++ b/crates/daemon/src/api/chat.rs
@@ -235,7 +235,7 @@
     })
 }
 
-/// Returns the requirements of a chat request for its server.
+/// Returns the identity of a chat request and its requirements for the server.
 fn dispatch_request(chat: &ChatRequest) -> DispatchRequest<'_> {
     DispatchRequest {
         pool: &chat.model,
--- a/crates/daemon/src/api/dispatch.rs
+++ b/crates/daemon/src/api/dispatch.rs
@@ -39,7 +39,7 @@
     pub fingerprint: Fingerprint,
 }
 
-/// Requirements of a request for the server that runs it.
+/// A request to dispatch, with its requirements for the server that runs it.
 pub struct DispatchRequest<'a> {
     /// The pool: a model's name, or a service route's name.
     pub pool: &'a str,
@@ -261,7 +261,7 @@
     not_run
 }
 
-/// Admits a request unless it is known to crash its servers; waits while that is being decided.
+/// Checks that a request is not known to crash its servers; waits while that is being decided.
 /// Returns the attempt and, for [`Verdict::Isolated`], the registration of its only further run.
 ///
 /// # Errors
--- a/crates/daemon/src/base/clock.rs
+++ b/crates/daemon/src/base/clock.rs
@@ -1,9 +1,9 @@
 //! Clocks of the daemon; no other module reads the host's clocks.
 //!
 //! The monotonic clock, and with it tokio's timers, does not advance while a host is suspended.
-//! Ages and deadlines measured by it would be too young after the host resumes, and tokens,
-//! lists and callers' deadlines would be used after they expired. The daemon therefore measures
-//! them, and ends waits, by a clock that includes the time of suspensions.
+//! Ages measured by it would be too low after the host resumes, and waits for deadlines would end
+//! too late: tokens, lists and callers' deadlines would be used after they expired. The daemon
+//! therefore measures time, and ends waits, by a clock that includes suspensions.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/daemon/src/base/config.rs
+++ b/crates/daemon/src/base/config.rs
@@ -26,15 +26,15 @@
     pub name: Name,
     /// Hall in which this host is located.
     pub hall: Name,
-    /// Address on which callers connect: IP address and port.
+    /// IP address and port on which the daemon listens for callers.
     pub caller_listen: String,
-    /// Address on which peers connect.
+    /// Address on which the daemon listens for peers.
     pub peer_listen: String,
     /// Address announced to peers; `peer_listen` if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_advertise: Option<String>,
-    /// Address on which operators connect; omitted if they manage the fleet only through the
-    /// platform.
+    /// Address on which the daemon listens for operators; omitted if they manage the fleet only
+    /// through the platform.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator_listen: Option<String>,
     /// Token that operators send as `Authorization: Bearer`.
@@ -94,7 +94,7 @@
     pub load_reports_at_once: usize,
     /// Number of daemons in each hall that read the store for the whole hall, so that the load
     /// on the store grows with the number of halls and not of daemons. The others receive
-    /// updates from peers, which may be cut off from the store while they are not.
+    /// updates from these peers, which may be cut off from the store while the others are not.
     pub store_readers: usize,
     /// Timeout of a call to a peer, in milliseconds.
     pub peer_timeout_ms: u64,
@@ -106,8 +106,9 @@
     /// Number of peers contacted as the owner of a budget's shard before this daemon writes the
     /// shard itself.
     pub owners_tried: usize,
-    /// Largest number of daemons in a fleet in which each writes the shards itself first: in
-    /// such a small fleet write conflicts are rare, and an unreachable owner causes no delay.
+    /// Maximum number of daemons of a small fleet, in which each daemon first tries to write the
+    /// budget shards itself: there write conflicts are rare, and an unreachable owner causes no
+    /// delay.
     pub direct_daemons: usize,
     /// Number of objects over which all budgets are distributed.
     pub budget_shards: u32,
@@ -153,7 +154,7 @@
 }
 
 impl Config {
-    /// Whether halls are evacuated through the platform.
+    /// Returns whether halls are evacuated through the platform.
     pub fn follows_evacuations(&self) -> bool {
         self.entry.as_ref().is_some_and(|entry| entry.follow_evacuations)
     }
@@ -182,7 +183,7 @@
         self.peer_advertise.as_deref().unwrap_or(&self.peer_listen)
     }
 
-    /// Whether the seed peers include a daemon other than this one.
+    /// Returns whether the seed peers include a daemon other than this one.
     pub fn has_other_seeds(&self) -> bool {
         self.seed_peers.iter().any(|seed| seed != self.peer_address())
     }
--- a/crates/daemon/src/base/config/entry.rs
+++ b/crates/daemon/src/base/config/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry service, which serves callers by the platform's protocol.
+//! Settings of the entry proxy, which serves callers over the platform's protocol.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use crate::error::ConfigFault;
 
-/// Settings of the entry service.
+/// Settings of the entry proxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
@@ -90,10 +90,11 @@
     0.1
 }
 
+/// With rationing more callers are served after a loss of all daemons, and about as many overall.
 /// Fraction of callers served in three deployments (five days of faults, three or four seeds
-/// each), with and without rationing. From 12 s after a loss of all daemons: mean 0.73, 0.77
+/// each), with and without rationing: from 12 s after a loss of all daemons: mean 0.73, 0.77
 /// and 0.75 against 0.59, 0.65 and 0.68; worst day 0.48, 0.61 and 0.51 against 0.32, 0.43 and
-/// 0.50. Of all callers: 0.810, 0.823 and 0.783 against 0.805, 0.823 and 0.794.
+/// 0.50; of all callers: 0.810, 0.823 and 0.783 against 0.805, 0.823 and 0.794.
 fn default_ration_s() -> f64 {
     0.9
 }
--- a/crates/daemon/src/base/metrics.rs
+++ b/crates/daemon/src/base/metrics.rs
@@ -70,7 +70,7 @@
     pub fn add(&self, name: &str, events: u64) {
         self.0.counters.get_or_create(&Event { event: name.to_owned() }).inc_by(events);
         if let Some(statsd) = &self.0.statsd {
-            // As above.
+            // As in `count`.
             let _unsent = statsd.count(name, events);
         }
     }
@@ -80,7 +80,7 @@
         let event = Event { event: name.to_owned() };
         self.0.times.get_or_create(&event).observe(millis as f64);
         if let Some(statsd) = &self.0.statsd {
-            // As above.
+            // As in `count`.
             let _unsent = statsd.time(name, millis);
         }
     }
--- a/crates/daemon/src/base/store_calls.rs
+++ b/crates/daemon/src/base/store_calls.rs
@@ -1,4 +1,4 @@
-//! Reports the number of store calls by purpose: the cost of coordinating a fleet.
+//! Reports the number of store calls by purpose, which shows what coordinating a fleet costs.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::base::Base;
 
-/// Interval between two log lines. A line has 200 bytes; without calls there is none.
+/// Interval between two log lines of 200 bytes each. No line is written if there were no calls.
 const REPORT_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// Logs and counts the store calls of each purpose until the daemon ends.
--- a/crates/daemon/src/base/tcp.rs
+++ b/crates/daemon/src/base/tcp.rs
@@ -42,7 +42,7 @@
 }
 
 /// Tries to connect to `address`, and checks that the connection then stays open for `hold`.
-/// The port of a process that has just ended may accept connections a little longer, and then
+/// The port of a process that has just ended may still accept connections for a short time, and
 /// resets them at once. Such a connection counts as [`ProbeResult::NoAnswer`].
 pub async fn probe_and_hold(address: &str, timeout: Duration, hold: Duration) -> ProbeResult {
     match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
--- a/crates/daemon/src/bill/billing.rs
+++ b/crates/daemon/src/bill/billing.rs
@@ -11,7 +11,7 @@
 
 /// Billing state of one daemon: pending entries and the tasks of the request log.
 pub struct Billing {
-    /// The other daemons.
+    /// This daemon's view of the fleet.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
--- a/crates/daemon/src/bill/bills.rs
+++ b/crates/daemon/src/bill/bills.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Submits one batch of pending entries; those that the store does not get stay pending.
+/// Submits one batch of pending entries; those that the store has not recorded stay pending.
 pub async fn submit_pending_batch(billing: &Arc<Billing>) {
     let _batch_guard = billing.batch_lock.lock().await;
     let batch: Vec<Entry> = {
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -40,15 +40,15 @@
 
 /// Budget state of one daemon.
 pub struct Budgets {
-    /// The other daemons.
+    /// This daemon's view of the fleet.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: Store,
     /// The current table.
     pub table: Arc<ArcSwapOption<Table>>,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled when a graceful shutdown begins.
     pub leaving: CancellationToken,
-    /// Cancelled when a planned stop begins to reject new requests.
+    /// Cancelled when a graceful shutdown begins to reject new requests.
     pub stopping: CancellationToken,
     holder: Mutex<Holder>,
     /// Tasks of the shards that this daemon owns.
--- a/crates/daemon/src/budget/draws.rs
+++ b/crates/daemon/src/budget/draws.rs
@@ -147,8 +147,8 @@
     answer
 }
 
-/// Gives all unspent tokens back to the store for a planned stop, or hands them over to a peer if
-/// the store is unreachable. Returns whether the store has recorded all of them.
+/// Gives all unspent tokens back to the store for a graceful shutdown, or hands them over to a peer
+/// if the store is unreachable. Returns whether the store has recorded all of them.
 pub async fn retire(budgets: &Arc<Budgets>) -> bool {
     if !is_store_reachable(budgets).await {
         // Tokens transferred to a peer are already debited and are not given back again if the
--- a/crates/daemon/src/budget/ration.rs
+++ b/crates/daemon/src/budget/ration.rs
@@ -54,7 +54,7 @@
     age.is_some_and(|age| age > MAX_OUTLOOK_AGE_MS)
 }
 
-/// Reads the outlook, then ends the prefetch whose place it took.
+/// Reads the outlook, then ends the prefetch as which the read was registered.
 async fn read_outlook(budgets: Arc<Budgets>, budget: Budget) {
     refresh_outlook(&budgets, &budget.name).await;
     budgets.end_prefetch(&budget.name);
--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -61,7 +61,7 @@
         "store_heard_ms" => budgets.fleet.connectivity.store_age(now));
 }
 
-/// Waits until a planned stop begins or enters its next phase; never returns in the last phase.
+/// Waits until a graceful shutdown begins or enters its next phase; never returns in the last one.
 async fn next_phase_of_stop(budgets: &Budgets) {
     if !budgets.leaving.is_cancelled() {
         return budgets.leaving.cancelled().await;
--- a/crates/daemon/src/budget/terms.rs
+++ b/crates/daemon/src/budget/terms.rs
@@ -25,7 +25,7 @@
 
 /// Returns the current terms on which this daemon draws on a budget. How far ahead it draws, and
 /// for which daemons, depends on the table row, the size of the fleet, the owner of the budget and
-/// whether a planned stop has begun.
+/// whether a graceful shutdown has begun.
 pub(crate) fn draw_terms(budgets: &Budgets, budget: &Budget) -> DrawTerms {
     let terms = DrawTerms {
         tokens: budget.tokens,
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -44,9 +44,9 @@
     /// [`CrashTracker::digest`] after the last change. It takes up to 0.6 ms to compute and is read
     /// by each of twelve heartbeats a second.
     digest: AtomicU64,
-    /// Updates to send to peers next, with the time at which each was recorded.
+    /// New facts to send to peers next, with the time at which each was recorded.
     unsent_facts: Mutex<Vec<(Millis, CrashFacts)>>,
-    /// Notified when there are such updates.
+    /// Notified when there are such facts.
     to_send: Notify,
     /// Notified when requests are waiting for a decision.
     to_decide: Notify,
@@ -54,7 +54,7 @@
     isolated_runs: IsolatedRuns,
     /// Notified when blocks have to be written to the store.
     to_persist: Notify,
-    /// Limits how often the facts of peers are requested.
+    /// Limits how often facts are fetched from peers.
     fetch_throttle: FetchThrottle,
 }
 
@@ -150,7 +150,7 @@
 
     /// Records that a request succeeded.
     pub fn record_success(self: &Arc<Self>, request: impl FnOnce() -> Fingerprint) {
-        // Nearly all requests ran on no server that crashed, and return here.
+        // Nearly all requests ran only on servers that have not crashed; they return here.
         let tracked = self.read(|tracker| {
             let request = request();
             tracker.tracks(request).then_some(request)
--- a/crates/daemon/src/crashes/gossip.rs
+++ b/crates/daemon/src/crashes/gossip.rs
@@ -15,13 +15,13 @@
 /// 300 daemons know of a crash after some five rounds; heartbeats reach those that were missed.
 const FANOUT: usize = 6;
 
-/// Time for which updates are batched before they are sent: hosts detect a crash on each of its
+/// Time for which updates are collected into one message: hosts detect a crash on each of its
 /// connections, one after the other. Sent one by one, the updates of a crash with 20 running
-/// requests take 10,000 calls in a fleet of 87 (computed).
+/// requests take 10,000 calls in a fleet of 87.
 const BATCH_WINDOW: Duration = Duration::from_millis(50);
 
-/// Minimum interval between two requests for all facts of a peer, in milliseconds. An answer takes
-/// up to some 500 kB when many requests crash servers.
+/// Minimum interval between two fetches, in milliseconds. An answer has up to some 500 kB when many
+/// requests crash servers.
 const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 
 impl Crashes {
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Compares the digest in a peer's heartbeat, and fetches the peer's facts if it differs.
+    /// Fetches the facts of the peer at `address` and merges them, if the digest in its heartbeat
+    /// differs from this daemon's; at most once in [`MIN_FETCH_INTERVAL_MS`].
     pub fn fetch_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
         if peer_digest == 0 || peer_digest == self.digest() {
             return;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,5 +1,5 @@
-//! Assembly of a daemon from its layers. The code that serves callers, operators and peers gets
-//! the whole daemon; each lower layer gets only the parts that it depends on.
+//! Assembly of a daemon from its layers. Only `lifecycle` and the code that serves operators and
+//! peers get the whole daemon; each lower layer gets the parts that it depends on.
 
 use std::sync::Arc;
 
@@ -46,17 +46,17 @@
     pub router: Arc<Mutex<Router>>,
     /// Table and lists as read from the platform or received from peers.
     pub view: Arc<View>,
-    /// Membership, health and store contact of the fleet.
+    /// The known peers, and recent contact with them and the store.
     pub fleet: Fleet,
     /// Budgets that this daemon holds, and budget shards that it owns.
     pub budgets: Arc<Budgets>,
-    /// Bills to be recorded in the store.
+    /// Pending bills, and the tasks of the request log.
     pub billing: Arc<Billing>,
     /// Connections to peers.
     pub peers: Arc<PeerPool>,
     /// Crashes of backend servers, and the requests that they were running.
     pub crashes: Arc<Crashes>,
-    /// Limits announced by servers, and the permits derived from them.
+    /// Signals of backend servers, and the permits derived from their limits.
     pub hints: Arc<Hints>,
     /// Heartbeats and the state sent with them.
     pub membership: Arc<Membership>,
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,8 +1,8 @@
 //! HTTP proxy for callers and backend servers of a platform that has its own wire format.
 //!
-//! Budgets, table, membership and router are the same as for the daemon's own API. This module
-//! forwards requests of the platform's callers to its listed servers and returns the answers;
-//! a [`Wire`] reads and writes the platform's headers.
+//! Budgets, table, membership and router are the same as for the daemon's own API (`api`). This
+//! module, the entry proxy, forwards requests of the platform's callers to its listed servers and
+//! returns the answers; a [`Wire`] reads and writes the platform's headers.
 
 pub mod admission;
 pub mod attempt;
@@ -31,7 +31,7 @@
 use crate::requests::RequestContext;
 use crate::view::View;
 
-/// State shared by the modules of the entry side.
+/// State shared by the modules of the entry proxy.
 pub struct Entry {
     /// State for serving requests, shared with the daemon's own API.
     pub requests: Arc<RequestContext>,
@@ -45,7 +45,7 @@
     pub retries: Mutex<RetryBudget>,
     /// Reservations of this host's link; `None` when the settings do not give its bandwidth.
     pub link: Mutex<Option<Link>>,
-    /// Settings of the entry side.
+    /// Settings of the entry proxy.
     pub settings: EntrySettings,
 }
 
@@ -55,7 +55,7 @@
         self.retries.lock().set_allowance(settings.retry_allowance());
     }
 
-    /// Creates the entry side of a daemon.
+    /// Creates the entry proxy of a daemon.
     pub fn new(
         requests: Arc<RequestContext>,
         view: Arc<View>,
--- a/crates/daemon/src/entry/backend.rs
+++ b/crates/daemon/src/entry/backend.rs
@@ -26,7 +26,7 @@
 /// Time for which data may stay unacknowledged before a connection is considered broken.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which this side closes an idle connection. It is shorter than the idle timeouts of
+/// Time after which the client closes an idle connection. It is shorter than the idle timeouts of
 /// servers, which are a small number of whole seconds.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -35,7 +35,7 @@
 
 /// Request of a caller while it is served.
 pub struct Call {
-    /// Entry side that has received it.
+    /// Entry proxy that has received it.
     pub entry: Arc<Entry>,
     /// Logger that adds the request's id.
     pub log: Logger,
@@ -102,7 +102,7 @@
         shared >= MIN_COPIED_TOKENS
     }
 
-    /// Returns whether it is known, or suspected, to crash servers.
+    /// Returns the verdict on whether the request crashes servers, as known to this daemon.
     pub fn verdict(&self) -> Verdict {
         self.entry.requests.crashes.verdict(|| self.fingerprint())
     }
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -32,7 +32,7 @@
         }
         // It may have been blocked while it waited for tokens.
         call.check_crashes().await?;
-        // After a suspension of the host, callers of its open requests are long gone.
+        // After a suspension of the host, the callers of open requests have disconnected.
         if call.is_late() {
             return Err(if call.may_have_run { Refusal::TimedOut } else { Refusal::TooLate });
         }
--- a/crates/daemon/src/entry/link_reservation.rs
+++ b/crates/daemon/src/entry/link_reservation.rs
@@ -48,7 +48,7 @@
         is_reserved.then(|| LinkReservation { entry, expected, sent: Traffic::default() })
     }
 
-    /// Records `bytes` sent: the body of the request, or a piece of its answer.
+    /// Records `bytes` sent: the body of the request, or a chunk of its answer.
     pub fn record_chunk(&mut self, bytes: usize) {
         self.sent.add(bytes);
     }
--- a/crates/daemon/src/entry/ready.rs
+++ b/crates/daemon/src/entry/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness endpoint: the platform asks here whether this daemon accepts connections.
+//! Readiness endpoint, by which the platform checks whether this daemon accepts connections.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
     Router::with_path(path).hoop(affix_state::inject(entry)).get(ready)
 }
 
-/// Returns the entry side that was injected into the request's route.
+/// Returns the entry proxy that is injected into the request's route.
 ///
 /// # Panics
 /// If the route has none.
 pub fn injected_entry(depot: &Depot) -> Arc<Entry> {
     let entry = depot.obtain::<Arc<Entry>>();
-    Arc::clone(entry.expect("the entry side is injected into every route"))
+    Arc::clone(entry.expect("Entry is injected into every route"))
 }
 
 #[handler]
--- a/crates/daemon/src/entry/refusal.rs
+++ b/crates/daemon/src/entry/refusal.rs
@@ -22,8 +22,7 @@
 /// are listed again within two seconds of its return.
 const NONE_LISTED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Retry delay while no hall accepts requests: this ends by a change of the operators, not of the
-/// fleet.
+/// Retry delay while no hall accepts requests: only a change by the operators ends this state.
 const NO_HALL_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Retry delay while daemons check whether disconnected servers have crashed: a crashed server
@@ -39,7 +38,7 @@
     /// The link of this host is reserved for other requests.
     #[error("the link of this host is full")]
     LinkFull,
-    /// A planned stop has reached the point at which requests are no longer accepted.
+    /// A graceful shutdown has reached the point at which requests are no longer accepted.
     #[error("this daemon is stopping")]
     Stopping,
     /// No route matches this host and path.
--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -1,4 +1,5 @@
-//! Planned stop of the entry side: refuses new connections and lets open requests end.
+//! Graceful shutdown of the entry proxy: withdraws its readiness, later stops accepting requests,
+//! and lets open requests end.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Whether the fleet is so small that each daemon writes to the store by itself. Does not
-    /// depend on how many peers answer now: hundreds of daemons that had all restarted took
-    /// themselves for a small fleet, and their writes to four ledgers conflicted for 15 s.
+    /// Returns whether the fleet is so small that each daemon writes to the store by itself. Does
+    /// not depend on how many peers answer now: when it did, each of hundreds of restarted daemons
+    /// assumed a small fleet, and their writes to four ledgers conflicted for 15 s.
     pub fn is_small(&self) -> bool {
         self.size().is_some_and(|size| size <= self.base.cfg.limits.direct_daemons)
     }
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Whether this daemon learns of changes in the store from peers and need not read it: other
-    /// daemons of its hall do, and its view is recent.
+    /// Returns whether this daemon learns of changes in the store from peers and need not read it:
+    /// other daemons of its hall do, and its view is recent.
     pub fn is_synced_by_peers(&self) -> bool {
         self.time_until_stale().is_some()
     }
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Whether this daemon has just started and still waits to receive the store's state from
-    /// peers.
+    /// Returns whether this daemon has just started and still waits to receive the store's state
+    /// from peers.
     pub fn is_in_startup_wait(&self) -> bool {
         self.base.clock.now() < self.store_read_policy().startup_wait()
     }
 
-    /// Whether this daemon's view of the table and the lists is recent enough for a daemon that
-    /// learns of changes from peers.
+    /// Returns whether this daemon's view of the table and the lists is recent enough for a daemon
+    /// that learns of changes from peers.
     pub fn is_current(&self) -> bool {
         !self.connectivity.is_view_older_than(STALE_VIEW_MS, self.base.clock.now())
     }
--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -79,8 +79,8 @@
         self.record_store_answer(now);
     }
 
-    /// Records that this daemon has all versions of a peer which, asked at `asked_at`, reported a
-    /// view of this `age`.
+    /// Records that this daemon is in sync with a peer that, asked at `asked_at`, reported a view
+    /// of this `age`.
     pub fn record_peer_sync(&self, asked_at: Millis, age: Millis) {
         self.state.lock().view.record_peer_sync(asked_at, age);
     }
@@ -91,13 +91,14 @@
         self.state.lock().view.age(now)
     }
 
-    /// Whether the view may be older than `limit`; true before all parts of it were received.
+    /// Returns whether the view may be older than `limit`; true before all parts of it were
+    /// received.
     pub fn is_view_older_than(&self, limit: Millis, now: Millis) -> bool {
         self.state.lock().view.is_older_than(limit, now)
     }
 
-    /// Records that the watch of the store failed. Until the store answers again, only the watch
-    /// calls it: calls of an unavailable store are charged too.
+    /// Records that the watch of the servers or a read of the host list failed. Until the store
+    /// answers again, only that watch calls it: calls of an unavailable store are charged too.
     pub fn mark_store_unavailable(&self) {
         self.state.lock().marked_unavailable = true;
     }
@@ -113,7 +114,7 @@
         self.state.lock().store_paused_until = now + STORE_FAILURE_PAUSE_MS;
     }
 
-    /// Whether the store counts as unavailable and should not be called now.
+    /// Returns whether the store counts as unavailable and should not be called now.
     pub fn is_store_unavailable(&self, now: Millis) -> bool {
         let state = self.state.lock();
         state.marked_unavailable || now < state.store_paused_until
@@ -145,14 +146,14 @@
         was_cut_off && answered
     }
 
-    /// Whether none of the last heartbeats was answered.
+    /// Returns whether none of the last [`CUT_OFF_AFTER_FAILURES`] heartbeats was answered.
     pub fn is_cut_off_from_peers(&self) -> bool {
         self.state.lock().is_cut_off_from_peers()
     }
 
-    /// Whether this daemon may be cut off from where drains are accepted: the store has not answered
-    /// for more than `limit` milliseconds, and at least half of the last heartbeats were not
-    /// answered, or too few were sent.
+    /// Returns whether this daemon may be cut off from the part of the fleet that accepts drains:
+    /// the store has not answered for more than `limit` milliseconds, and at least half of the last
+    /// heartbeats were not answered, or too few were sent.
     pub fn is_isolated(&self, now: Millis, limit: Millis) -> bool {
         let state = self.state.lock();
         let is_store_recent =
--- a/crates/daemon/src/fleet/suspension.rs
+++ b/crates/daemon/src/fleet/suspension.rs
@@ -4,7 +4,8 @@
 
 use crate::fleet::Fleet;
 
-/// Interval of the checks: after a wake a caller's deadline is missed by at most this time.
+/// Interval of the checks: once the host resumes, a caller's deadline is missed by at most this
+/// time.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shortest suspension that is reported: smaller differences between the two clocks come from
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,10 +1,10 @@
 //! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` is checked before each request to a server, `observe` records response headers and
-//! facts from peers, `issue` issues permits to peers, and `gossip` sends new facts to peers. This
-//! module may call peers and use the state of the fleet and of the servers. It is called by the
-//! callers' interfaces, by heartbeats and by `peer_server`.
+//! `permit` acquires the permit that each request to a server needs, `observe` records response
+//! headers and facts from peers, `issue` issues permits to peers, and `gossip` exchanges facts with
+//! peers. This module may call peers and use the state of the fleet and of the servers. It is
+//! called by `api`, `entry`, `membership` and `peer_server`.
 
 pub mod gossip;
 mod issue;
@@ -50,19 +50,19 @@
     unresponsive: Mutex<HashMap<Name, Millis>>,
     /// Servers with a hint that could not be parsed, which is logged once for each server.
     unreadable: Mutex<HashMap<ServerStart, String>>,
-    /// Set while limits are known; otherwise the common path skips the lock.
+    /// Whether any limit is known; if not, requests skip the lock of `limits`.
     has_limits: AtomicBool,
-    /// Set while servers are leaving or resting; otherwise the common path skips the lock.
+    /// Whether any server is leaving or resting; if not, requests skip the lock of `router`.
     has_closed: AtomicBool,
     /// [`LimitTracker::digest`] after the last change.
     limits_digest: AtomicU64,
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
-    /// Limits how often facts are requested from peers.
+    /// Limits how often facts are fetched from peers.
     fetch_throttle: FetchThrottle,
     /// Queue of facts to send to peers.
     fact_queue: mpsc::Sender<HintFact>,
-    /// Receiver of that queue; taken by [`gossip::spawn_sender`].
+    /// Receiver of that queue, taken by [`gossip::spawn_sender`].
     fact_receiver: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// Replaces the retry delay of a caller whose servers are all at their limits or resting by the
-    /// next free one, so that callers return one after the other.
+    /// next free one of the retry schedule, so that callers return one after the other.
     pub fn schedule_retry(&self, service: &Name, why: NoServer) -> NoServer {
         match why {
             NoServer::OnlyLimited(at_limit) => {
@@ -139,7 +139,7 @@
         self.retry_schedule.lock().next_delay(now, service, first_ms, per_second, rand::random())
     }
 
-    /// Returns since when the membership of the fleet is the current one.
+    /// Returns the time since which the membership of the fleet has not changed.
     fn membership_since(&self) -> Millis {
         let digest = self.fleet.members.lock().digest();
         let now = self.fleet.base.clock.now();
--- a/crates/daemon/src/hints/gossip.rs
+++ b/crates/daemon/src/hints/gossip.rs
@@ -1,5 +1,5 @@
-//! Exchanges signals of servers with peers: new facts are sent at once, and all facts are pulled
-//! from a peer with a different digest in its heartbeat (after a start or a network partition).
+//! Exchange of signals of servers with peers: new facts are sent at once, and all facts are fetched
+//! from a peer whose heartbeat has a different digest, as after a start or a network partition.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,23 +26,23 @@
 /// Maximum number of facts in one message, of about 60 bytes each.
 const MAX_BATCH_FACTS: usize = 64;
 
-/// Maximum number of facts of each kind in the answer to a pull. A daemon that starts during a
-/// release knows all of them within seconds.
+/// Maximum number of facts of each kind that one fetch returns. A daemon that starts during a
+/// release still knows all of them within seconds.
 const MAX_FETCHED_FACTS: usize = 512;
 
-/// Minimum interval between two pulls, in milliseconds.
+/// Minimum interval between two fetches, in milliseconds.
 const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 
 /// Timeout for calls: it limits the transit time, which ages in facts don't include, to
 /// [`MAX_TRANSIT_MS`].
 const CALL_TIMEOUT: Duration = Duration::from_millis(MAX_TRANSIT_MS);
 
-/// Pause after a message for each fact in it. It limits what a daemon sends during a flood of
-/// changes; heartbeats bring the rest.
+/// Pause after a message for each fact in it. It limits what a daemon sends during a burst of
+/// changes; peers fetch the remaining facts when heartbeats show a different digest.
 const PAUSE_PER_FACT: Duration = Duration::from_millis(4);
 
-/// Starts the task that sends new facts to some peers, which forward them to others until no daemon
-/// finds them new. Does nothing if it was called before.
+/// Starts the task that sends new facts to some peers. A peer forwards only facts that are new to
+/// it. Does nothing if it was called before.
 pub fn spawn_sender(hints: &Hints) {
     if let Some(queue) = hints.fact_receiver.lock().take() {
         tokio::spawn(send_facts(hints.fleet.clone(), queue));
@@ -84,8 +84,8 @@
 }
 
 impl Hints {
-    /// Returns the known facts for a peer: at most `MAX_FETCHED_FACTS` of each kind, from a random
-    /// offset on.
+    /// Returns the known facts for a peer: at most [`MAX_FETCHED_FACTS`] of each kind, from a
+    /// random offset on.
     pub fn facts(&self) -> Vec<HintFact> {
         let now = self.fleet.base.clock.now();
         let offset = rand::random_range(0..usize::MAX);
@@ -100,8 +100,8 @@
         self.limits_digest.load(Ordering::Relaxed) ^ self.leaving_digest.load(Ordering::Relaxed)
     }
 
-    /// Compares the digest in a peer's heartbeat with this daemon's; if they differ, requests the
-    /// peer's facts and merges them, at most once in `MIN_FETCH_INTERVAL_MS`.
+    /// Fetches the facts of the peer at `address` and merges them, if the digest in its heartbeat
+    /// differs from this daemon's; at most once in [`MIN_FETCH_INTERVAL_MS`].
     pub fn fetch_if_digest_differs(self: &Arc<Self>, address: &str, peer_digest: u64) {
         if peer_digest == self.digest() {
             return;
@@ -115,7 +115,7 @@
             match hints.fleet.base.peers.call(&address, CALL_TIMEOUT, call).await {
                 Some(facts) => hints.merge_facts(&facts),
                 None => {
-                    slog::debug!(hints.fleet.base.log, "failed to pull server hints";
+                    slog::debug!(hints.fleet.base.log, "failed to fetch server hints";
                         "peer" => &address)
                 }
             }
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -42,8 +42,8 @@
         self.observe_closed(log, server, hints);
     }
 
-    /// Records only leaving and rest. It is used for responses that don't answer a request of a
-    /// caller, which announce no limit.
+    /// Records only whether the server is leaving or asks for rest. For responses to calls other
+    /// than callers' requests, which announce no limit.
     pub fn observe_closed(&self, log: &Logger, server: &ServerStart, hints: &ServerHints) {
         match &hints.leaving {
             Hint::Absent => {}
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server start-up and request body reading, shared by all HTTP interfaces of the daemon.
+//! HTTP listeners for all interfaces of the daemon, and reading of request bodies for `api`.
 
 use std::time::Duration;
 
@@ -13,15 +13,15 @@
 use crate::base::tcp;
 use crate::error::{Error, Result};
 
-/// A running HTTP server.
+/// A running HTTP listener.
 pub struct HttpListener {
-    /// Stops the server.
+    /// Stops the listener.
     pub handle: ServerHandle,
-    /// Completes when the server has stopped.
+    /// Completes when the listener has stopped.
     pub task: JoinHandle<()>,
 }
 
-/// Starts a server for `router` on `address`.
+/// Starts a listener on `address` that serves the routes of `router`.
 ///
 /// # Errors
 /// [`Error::Listen`] if the address can't be bound.
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -53,9 +53,9 @@
     pub fleet: Fleet,
     /// This daemon's view of the table and of the platform's lists.
     pub view: Arc<View>,
-    /// Records of crashes.
+    /// Crash state of this daemon.
     pub crashes: Arc<Crashes>,
-    /// Limits and other signals of backend servers.
+    /// Signals of backend servers.
     pub hints: Arc<Hints>,
     /// Notified when the number of prompt tokens that servers still have to read for this daemon
     /// has changed.
@@ -161,7 +161,7 @@
     membership.view.router.lock().merge_paces(&heartbeat.paces);
 }
 
-/// Whether this daemon's table and server list are no older than the sender's.
+/// Returns whether this daemon's table and server list are no older than the sender's.
 fn is_synced_with(membership: &Membership, heartbeat: &Heartbeat) -> bool {
     let servers_version = membership.view.servers.lock().version();
     heartbeat.revision <= membership.view.revision() && heartbeat.servers_version <= servers_version
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -33,7 +33,7 @@
     pub tokens: Tokens,
 }
 
-/// Returns the daemon that handles the request.
+/// Returns the daemon that is injected into the request's route.
 fn injected_daemon(depot: &Depot) -> Arc<Daemon> {
     let daemon = depot.obtain::<Arc<Daemon>>();
     Arc::clone(daemon.expect("the daemon is injected into every route"))
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -1,4 +1,4 @@
-//! State of a daemon for people: a summary and a full dump.
+//! State of a daemon as JSON, for operators: a summary and a full dump.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -70,7 +70,7 @@
         self.clients.lock().len()
     }
 
-    /// Whether there are no open connections.
+    /// Returns whether there are no open connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -46,7 +46,7 @@
     pub issued: Issued,
     /// Whether the server has no limit any more, as far as the issuer knows.
     pub is_free: bool,
-    /// The issuer's record of the limit, if it differs from the requester's.
+    /// The limit as known to the issuer, if it differs from the one known to the requester.
     pub newer: Option<LimitFact>,
 }
 
@@ -143,16 +143,16 @@
     async fn close(holder: Incarnation, witness: Incarnation, budget: Name) -> Option<Tokens>;
     /// Appends an entry to the request log through the receiver.
     async fn submit(entry: Entry) -> Outcome;
-    /// Sends crash records that are new to the sender.
+    /// Sends crash facts that are new to the sender.
     async fn told_crashes(facts: CrashFacts);
-    /// Returns all of the receiver's crash records.
+    /// Returns all crash facts known to the receiver.
     async fn crash_facts() -> CrashFacts;
     /// Sends server signals, such as limits, that are new to the sender.
     async fn told_hints(facts: Vec<HintFact>);
     /// Returns the server signals known to the receiver; a part of them if there are many.
     async fn hint_facts() -> Vec<HintFact>;
-    /// Requests permits for a server from the receiver. `fact` is the sender's record of the
-    /// server's limit.
+    /// Requests permits for a server from the receiver. `fact` is the server's limit as known to
+    /// the sender.
     async fn permits(fact: LimitFact, request: PermitRequest) -> PermitAnswer;
     /// Hands the receiver a bill, which it keeps until the store accepts it.
     async fn keep_bill(bill: Bill);
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -1,9 +1,9 @@
-//! State that requests of callers are served with, both over bankcove's own interface (`api`) and
-//! over the platform's protocol (`entry`).
+//! State for serving callers' requests, over bankcove's own interface (`api`) and over the
+//! platform's protocol (`entry`).
 //!
 //! Owns the set of open requests (`open_request`, [`RequestContext::in_flight`]) and the flags
-//! that end the acceptance of new ones. May call the layers that hold state; called by `api` and
-//! `entry`, and by a planned stop.
+//! by which a graceful shutdown stops the acceptance of new ones. May call the layers that hold
+//! state; called by `api`, `entry` and `lifecycle`.
 
 pub mod open_request;
 
@@ -28,27 +28,27 @@
 pub struct RequestContext {
     /// Settings, clock, logger and metrics.
     pub base: Base,
-    /// Membership of and connections to the other daemons.
+    /// This daemon's view of the fleet.
     pub fleet: Fleet,
     /// The current table; `None` until the first one is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
-    /// State of the backend servers and choice among them.
+    /// Routing state of the backend servers.
     pub router: Arc<Mutex<Router>>,
     /// Budget tokens held by this daemon and budget shards that it owns.
     pub budgets: Arc<Budgets>,
     /// Crashes of backend servers, and the requests that were running there.
     pub crashes: Arc<Crashes>,
-    /// Signals that backend servers have sent about themselves, and the send permits based on
-    /// them.
+    /// Signals of backend servers, and the permits derived from their limits.
     pub hints: Arc<Hints>,
     /// Notified when the unread prompt tokens that this daemon has sent to servers have changed.
     pub unread_changed: Arc<Notify>,
     /// Cancelled when the platform's load balancer should send no new connections; requests are
     /// still accepted then.
     pub leaving: CancellationToken,
-    /// During a planned stop: a request is only accepted if it is expected to end by this time.
+    /// During a graceful shutdown: a request is only accepted if it is expected to end by this
+    /// time.
     pub latest_end: Mutex<Option<Millis>>,
-    /// Cancelled when no more requests are accepted because of a planned stop.
+    /// Cancelled when no more requests are accepted because of a graceful shutdown.
     pub stopping: CancellationToken,
     /// Requests in flight.
     pub in_flight: TaskTracker,
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -187,12 +187,12 @@
         self.hash != 0
     }
 
-    /// Whether the store, asked at `since` or later, listed exactly this row.
+    /// Returns whether the store, asked at `since` or later, listed exactly this row.
     pub fn contains_since(&self, host: &Host, since: i64) -> bool {
         self.read_at >= since && self.hosts.contains(host)
     }
 
-    /// Whether the list was read from the store at `since` or later.
+    /// Returns whether the list was read from the store at `since` or later.
     pub fn is_read_since(&self, since: i64) -> bool {
         self.is_read() && self.read_at >= since
     }
--- a/crates/daemon/src/view/orders.rs
+++ b/crates/daemon/src/view/orders.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether this daemon is one of the daemons that send orders to this server.
+/// Returns whether this daemon is one of the daemons that send orders to this server.
 fn is_sender_for(view: &View, server: &Name) -> bool {
     let key = xxh3_64(server.as_str().as_bytes());
     view.fleet.members.lock().owners(key, SENDERS_PER_SERVER).iter().any(Option::is_none)
