--- a/crates/daemon/src/budget/statement.rs
+++ b/crates/daemon/src/budget/statement.rs
@@ -16,8 +16,7 @@
 use crate::peer::PeerServiceClient;
 
 /// Maximum number of attempts at a statement without double counting. Tokens are counted twice if
-/// they are sent after the sender was asked and received before the receiver is
-/// asked.
+/// they are sent after the sender was asked, and received before the receiver was.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Returns the tokens of a budget at this daemon.
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -40,7 +40,7 @@
     pub store: Store,
     /// HTTP client for backend servers.
     pub http: reqwest::Client,
-    /// Table in force; none until the first one is adopted.
+    /// Table in force; `None` until the first one is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
     /// Routing state of the backend servers.
     pub router: Arc<Mutex<Router>>,
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -79,8 +79,8 @@
         answer_time(asked_at, self.base.clock.now(), WATCH_ANSWER_TIMEOUT_MS)
     }
 
-    /// Returns the number of daemons in the fleet, by the platform's list; none while the list may
-    /// be that of a fleet that is still starting.
+    /// Returns the number of daemons in the fleet, by the platform's list; `None` while the list
+    /// may be that of a fleet that is still starting.
     pub fn size(&self) -> Option<usize> {
         match self.members.lock().fleet_size() {
             FleetSize::Listed(size) => Some(size),
@@ -118,7 +118,7 @@
         self.time_until_stale().is_some()
     }
 
-    /// Returns the time for which this daemon still relies on peers; none if it reads the store
+    /// Returns the time for which this daemon still relies on peers; `None` if it reads the store
     /// itself.
     fn time_until_stale(&self) -> Option<Duration> {
         let view_age = self.connectivity.view_age(self.base.clock.now());
@@ -126,7 +126,7 @@
     }
 
     /// Returns the pause until the next check whether this daemon still learns of changes from
-    /// peers, at most the time for which it relies on them; none if it reads the store itself.
+    /// peers, at most the time for which it relies on them; `None` if it reads the store itself.
     pub fn peer_sync_pause(&self) -> Option<Duration> {
         self.time_until_stale().map(|left| left.min(PEER_SYNC_POLL))
     }
--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -85,8 +85,8 @@
         self.state.lock().view.record_peer_sync(asked_at, age);
     }
 
-    /// Returns the greatest possible age of the view, in milliseconds; none before all parts of it
-    /// were received.
+    /// Returns the greatest possible age of the view, in milliseconds; `None` before all parts of
+    /// it were received.
     pub fn view_age(&self, now: Millis) -> Option<Millis> {
         self.state.lock().view.age(now)
     }
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -39,8 +39,8 @@
         Ok(client)
     }
 
-    /// Calls the peer at this address and returns its response; none if the connection or the call
-    /// fails or times out.
+    /// Calls the peer at this address and returns its response; `None` if the connection or the
+    /// call fails or times out.
     pub async fn call<T, F>(
         &self,
         address: &str,
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -109,7 +109,7 @@
     /// Returns the table in force if its revision is above `revision`.
     async fn table_above(revision: u64) -> Option<PackedTable>;
     /// Returns the changes of the receiver's server list since `version`, with the version of that
-    /// list; none if it is not above `version`.
+    /// list; `None` if it is not above `version`.
     async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
     /// Returns the receiver's copy of the platform's host list, unless its hash is `hash`.
     async fn hosts_unless(hash: u64) -> Option<HostListReply>;
@@ -139,7 +139,7 @@
     /// `opened`. Returns whether it agrees.
     async fn open(holder: Incarnation, witness: Incarnation, budget: Name, opened: Tokens) -> bool;
     /// Asks the receiver as a witness to let `holder` open nothing further. Returns the cumulative
-    /// sum opened before; none if the incarnation `witness` is not running any more.
+    /// sum opened before; `None` if the incarnation `witness` is not running any more.
     async fn close(holder: Incarnation, witness: Incarnation, budget: Name) -> Option<Tokens>;
     /// Appends an entry to the request log through the receiver.
     async fn submit(entry: Entry) -> Outcome;
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -35,7 +35,7 @@
     pub store: Store,
     /// HTTP client that sends orders to backend servers.
     pub http: reqwest::Client,
-    /// The table in force; none until the first table is adopted.
+    /// The table in force; `None` until the first table is adopted.
     pub table: Arc<ArcSwapOption<Table>>,
     /// The routing state.
     pub router: Arc<Mutex<Router>>,
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -119,7 +119,7 @@
     view.fleet.members.lock().check_store_reader(&view.fleet.base.cfg.hall, count)
 }
 
-/// Returns the host list of the first of these peers that answers; none if it is the known one
+/// Returns the host list of the first of these peers that answers; `None` if it is the known one
 /// or no peer answers.
 async fn fetch_from_peers(view: &Arc<View>, peers: &[Peer]) -> Option<HostList> {
     for peer in peers {
@@ -134,7 +134,7 @@
 /// Error: a peer did not answer in time.
 struct NoAnswer;
 
-/// Returns the host list of the peer at this address; none if it is the known one.
+/// Returns the host list of the peer at this address; `None` if it is the known one.
 async fn fetch_from_peer(view: &Arc<View>, address: &str) -> Result<Option<HostList>, NoAnswer> {
     let known = view.hosts.load().hash;
     let timeout = Duration::from_millis(view.fleet.base.cfg.limits.peer_timeout_ms);
@@ -197,7 +197,7 @@
         self.is_read() && self.read_at >= since
     }
 
-    /// Returns the list for a peer that has the list with this `hash`; none if this list is the
+    /// Returns the list for a peer that has the list with this `hash`; `None` if this list is the
     /// same or was not read yet.
     pub fn unless_hash(&self, hash: u64, now: Millis) -> Option<HostListReply> {
         let is_new = self.is_read() && self.hash != hash;
