--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/observe.rs
@@ -12,18 +12,18 @@
 
 /// Origin of a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Source {
+enum Origin {
     /// The server itself.
     Server,
     /// A peer.
     Peer,
 }
 
-impl Source {
+impl Origin {
     fn name(self) -> &'static str {
         match self {
-            Source::Server => "server",
-            Source::Peer => "peer",
+            Origin::Server => "server",
+            Origin::Peer => "peer",
         }
     }
 }
@@ -60,7 +60,7 @@
     fn observe_leaving(&self, server: &ServerStart) {
         let now = self.fleet.base.clock.now();
         if let Some(fact) = self.change_closed(|router| router.observe_leaving(now, server)) {
-            self.apply_leaving(fact, Source::Server);
+            self.apply_leaving(fact, Origin::Server);
         }
     }
 
@@ -85,7 +85,7 @@
         let change =
             self.change_limits(|limits| limits.record_response(now, server, sent_at, header));
         if let Some(change) = change {
-            self.apply_limit_change(&change, Source::Server);
+            self.apply_limit_change(&change, Origin::Server);
         }
     }
 
@@ -110,28 +110,28 @@
     pub(super) fn merge_limits(&self, facts: &[LimitFact]) {
         let now = self.fleet.base.clock.now();
         for change in &self.change_limits(|limits| limits.merge(now, facts)) {
-            self.apply_limit_change(change, Source::Peer);
+            self.apply_limit_change(change, Origin::Peer);
         }
     }
 
     fn merge_leaving(&self, facts: &[LeavingFact]) {
         let now = self.fleet.base.clock.now();
         for fact in self.change_closed(|router| router.merge_leaving(now, facts)) {
-            self.apply_leaving(fact, Source::Peer);
+            self.apply_leaving(fact, Origin::Peer);
         }
     }
 
     /// Logs, counts and queues for peers that a server is leaving.
-    fn apply_leaving(&self, fact: LeavingFact, source: Source) {
+    fn apply_leaving(&self, fact: LeavingFact, origin: Origin) {
         self.fleet.base.metrics.count("server.leaves");
         slog::info!(self.fleet.base.log, "server leaves";
             "server" => %fact.server.name, "started_ms" => fact.server.started_ms,
-            "age_ms" => fact.age_ms, "from" => source.name());
+            "age_ms" => fact.age_ms, "from" => origin.name());
         self.queue_fact(HintFact::Leaving(fact));
     }
 
     /// Applies a changed limit to the router, logs it and queues it for peers.
-    fn apply_limit_change(&self, change: &LimitChange, source: Source) {
+    fn apply_limit_change(&self, change: &LimitChange, origin: Origin) {
         let LimitChange { before, fact } = change;
         let now = self.fleet.base.clock.now();
         let (before, after) =
@@ -146,7 +146,7 @@
         slog::info!(self.fleet.base.log, "{}", message;
             "server" => %fact.server.name, "started_ms" => fact.server.started_ms,
             "before_per_s" => before, "per_s" => after, "age_ms" => fact.received_age_ms,
-            "from" => source.name());
+            "from" => origin.name());
         self.queue_fact(HintFact::Limit(fact.clone()));
     }
 
