--- a/crates/daemon/src/budget/rebalance.rs
+++ b/crates/daemon/src/budget/rebalance.rs
@@ -61,7 +61,7 @@
         "store_heard_ms" => budgets.fleet.connectivity.store_age(now));
 }
 
-/// Waits until a planned stop begins or enters its next phase; never returns in the last phase.
+/// Waits until a graceful shutdown begins or enters its next phase; never returns in the last one.
 async fn next_phase_of_stop(budgets: &Budgets) {
     if !budgets.leaving.is_cancelled() {
         return budgets.leaving.cancelled().await;
@@ -77,7 +77,7 @@
     let terms = draw_terms(budgets, budget);
     let now = budgets.fleet.base.clock.now();
     let owner = owners_to_ask(budgets, budget).into_iter().next();
-    if owner.is_none() && budgets.fleet.connectivity.is_store_away(now) {
+    if owner.is_none() && budgets.fleet.connectivity.is_store_unavailable(now) {
         // Tokens that are debited but not reported would be unusable until the store returns.
         return;
     }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,12 +1,12 @@
 //! HTTP proxy for callers and backend servers of a platform that has its own wire format.
 //!
-//! Budgets, table, membership and router are the same as for the daemon's own API. This module
-//! forwards requests of the platform's callers to its listed servers and returns the answers;
-//! a [`Wire`] reads and writes the platform's headers.
+//! Budgets, table, membership and router are the same as for the daemon's own API (`api`). This
+//! module, the entry proxy, forwards requests of the platform's callers to its listed servers and
+//! returns the answers; a [`Wire`] reads and writes the platform's headers.
 
-pub mod admitted;
+pub mod admission;
 pub mod attempt;
-pub mod backends;
+pub mod backend;
 pub mod call;
 pub mod charge;
 pub mod forward;
@@ -27,11 +27,11 @@
 use parking_lot::Mutex;
 
 use crate::base::config::entry::EntrySettings;
-use crate::entry::backends::Backends;
+use crate::entry::backend::BackendClient;
 use crate::requests::RequestContext;
 use crate::view::View;
 
-/// State shared by the modules of the entry side.
+/// State shared by the modules of the entry proxy.
 pub struct Entry {
     /// State for serving requests, shared with the daemon's own API.
     pub requests: Arc<RequestContext>,
@@ -40,12 +40,12 @@
     /// Wire format of the platform.
     pub wire: Arc<dyn Wire>,
     /// Connections to backend servers.
-    pub backends: Backends,
+    pub backend_client: BackendClient,
     /// This daemon's retry budget.
     pub retries: Mutex<RetryBudget>,
     /// Reservations of this host's link; `None` when the settings do not give its bandwidth.
     pub link: Mutex<Option<Link>>,
-    /// Settings of the entry side.
+    /// Settings of the entry proxy.
     pub settings: EntrySettings,
 }
 
@@ -55,7 +55,7 @@
         self.retries.lock().set_allowance(settings.retry_allowance());
     }
 
-    /// Creates the entry side of a daemon.
+    /// Creates the entry proxy of a daemon.
     pub fn new(
         requests: Arc<RequestContext>,
         view: Arc<View>,
@@ -63,7 +63,7 @@
         settings: EntrySettings,
     ) -> Arc<Self> {
         Arc::new(Entry {
-            backends: Backends::new(),
+            backend_client: BackendClient::new(),
             retries: Mutex::new(RetryBudget::new(settings.retry_allowance())),
             link: Mutex::new(settings.link_mbps.map(Link::new)),
             requests,
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 
-use crate::entry::admitted::Admitted;
+use crate::entry::admission::AdmittedCall;
 use crate::entry::attempt::{AttemptOutcome, BufferedAnswer, attempt, log_ended};
 use crate::entry::refusal::Refusal;
 use crate::entry::relay::Relay;
@@ -22,8 +22,8 @@
 ///
 /// # Errors
 /// The [`Refusal`] that the caller receives.
-pub async fn forward(admitted: Admitted) -> Result<Answer, Refusal> {
-    let Admitted { mut call, mut charge } = admitted;
+pub async fn forward(admitted: AdmittedCall) -> Result<Answer, Refusal> {
+    let AdmittedCall { mut call, mut charge } = admitted;
     let mut error_answer = None;
     let mut no_server = NoServer::NoneUsable;
     loop {
@@ -32,7 +32,7 @@
         }
         // It may have been blocked while it waited for tokens.
         call.check_crashes().await?;
-        // After a suspension of the host, callers of its open requests are long gone.
+        // After a suspension of the host, the callers of open requests have disconnected.
         if call.is_late() {
             return Err(if call.may_have_run { Refusal::TimedOut } else { Refusal::TooLate });
         }
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,10 +1,10 @@
 //! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` is checked before each request to a server, `observe` records response headers and
-//! facts from peers, `issue` issues permits to peers, and `gossip` sends new facts to peers. This
-//! module may call peers and use the state of the fleet and of the servers. It is called by the
-//! callers' interfaces, by heartbeats and by `peer_server`.
+//! `permit` acquires the permit that each request to a server needs, `observe` records response
+//! headers and facts from peers, `issue` issues permits to peers, and `gossip` exchanges facts with
+//! peers. This module may call peers and use the state of the fleet and of the servers. It is
+//! called by `api`, `entry`, `membership` and `peer_server`.
 
 pub mod gossip;
 mod issue;
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::Fleet;
-use crate::fleet::query_throttle::QueryThrottle;
+use crate::fleet::fetch_throttle::FetchThrottle;
 
 /// Capacity of the queue of facts to send to peers. Facts that don't fit reach peers by heartbeats.
 const FACT_QUEUE_CAPACITY: usize = 4_096;
@@ -45,24 +45,24 @@
     leases: Mutex<Leases>,
     retry_schedule: Mutex<RetrySchedule>,
     /// Last [`bankcove_core::members::Members::digest`], and since when it is the current one.
-    membership: Mutex<(u64, Millis)>,
+    members_digest: Mutex<(u64, Millis)>,
     /// Issuers that did not answer, and the times until which they are skipped.
     unresponsive: Mutex<HashMap<Name, Millis>>,
     /// Servers with a hint that could not be parsed, which is logged once for each server.
     unreadable: Mutex<HashMap<ServerInstance, String>>,
-    /// Set while limits are known; otherwise the common path skips the lock.
+    /// Whether any limit is known; if not, requests skip the lock of `limits`.
     has_limits: AtomicBool,
-    /// Set while servers are leaving or resting; otherwise the common path skips the lock.
+    /// Whether any server is leaving or resting; if not, requests skip the lock of `router`.
     has_closed: AtomicBool,
     /// [`LimitTracker::digest`] after the last change.
     limits_digest: AtomicU64,
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
-    /// Limits how often facts are requested from peers.
-    pull_pause: QueryThrottle,
+    /// Limits how often facts are fetched from peers.
+    fetch_throttle: FetchThrottle,
     /// Queue of facts to send to peers.
     fact_queue: mpsc::Sender<HintFact>,
-    /// Receiver of that queue; taken by [`gossip::spawn_gossip`].
+    /// Receiver of that queue, taken by [`gossip::spawn_sender`].
     fact_receiver: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
 
@@ -77,14 +77,14 @@
             issuer: Mutex::default(),
             leases: Mutex::default(),
             retry_schedule: Mutex::default(),
-            membership: Mutex::default(),
+            members_digest: Mutex::default(),
             unresponsive: Mutex::default(),
             unreadable: Mutex::default(),
             has_limits: AtomicBool::new(false),
             has_closed: AtomicBool::new(false),
             limits_digest: AtomicU64::new(0),
             leaving_digest: AtomicU64::new(0),
-            pull_pause: QueryThrottle::default(),
+            fetch_throttle: FetchThrottle::default(),
             fact_queue,
             fact_receiver: Mutex::new(Some(fact_receiver)),
         }
@@ -116,7 +116,7 @@
     }
 
     /// Replaces the retry delay of a caller whose servers are all at their limits or resting by the
-    /// next free one, so that callers return one after the other.
+    /// next free one of the retry schedule, so that callers return one after the other.
     pub fn schedule_retry(&self, service: &Name, why: NoServer) -> NoServer {
         match why {
             NoServer::OnlyLimited(at_limit) => {
@@ -139,11 +139,11 @@
         self.retry_schedule.lock().next_delay(now, service, first_ms, per_second, rand::random())
     }
 
-    /// Returns since when the membership of the fleet is the current one.
+    /// Returns the time since which the membership of the fleet has not changed.
     fn membership_since(&self) -> Millis {
         let digest = self.fleet.members.lock().digest();
         let now = self.fleet.base.clock.now();
-        let mut membership = self.membership.lock();
+        let mut membership = self.members_digest.lock();
         if membership.0 != digest {
             *membership = (digest, now);
         }
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -1,4 +1,4 @@
-//! State of a daemon for people: a summary and a full dump.
+//! State of a daemon as JSON, for operators: a summary and a full dump.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
         "free": free,
         "holdings": holdings,
         "owners": daemon.budgets.owner_tasks.dump().await,
-        "request_log": daemon.billing.logs.dump().await,
+        "request_log": daemon.billing.log_tasks.dump().await,
         "servers": servers,
         "limits": daemon.hints.dump(),
         "crashes": daemon.crashes.facts(),
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -46,7 +46,7 @@
     pub issued: Issued,
     /// Whether the server has no limit any more, as far as the issuer knows.
     pub is_free: bool,
-    /// The issuer's record of the limit, if it differs from the requester's.
+    /// The limit as known to the issuer, if it differs from the one known to the requester.
     pub newer: Option<LimitFact>,
 }
 
@@ -109,7 +109,7 @@
     /// Returns the table in force if its revision is above `revision`.
     async fn table_above(revision: u64) -> Option<PackedTable>;
     /// Returns the changes of the receiver's server list since `version`, with the version of that
-    /// list; none if it is not above `version`.
+    /// list; `None` if it is not above `version`.
     async fn servers_above(version: ListVersion) -> Option<(ListVersion, ListUpdate)>;
     /// Returns the receiver's copy of the platform's host list, unless its hash is `hash`.
     async fn hosts_unless(hash: u64) -> Option<HostListReply>;
@@ -139,20 +139,20 @@
     /// `opened`. Returns whether it agrees.
     async fn open(holder: Incarnation, witness: Incarnation, budget: Name, opened: Tokens) -> bool;
     /// Asks the receiver as a witness to let `holder` open nothing further. Returns the cumulative
-    /// sum opened before; none if the incarnation `witness` is not running any more.
+    /// sum opened before; `None` if the incarnation `witness` is not running any more.
     async fn close(holder: Incarnation, witness: Incarnation, budget: Name) -> Option<Tokens>;
     /// Appends an entry to the request log through the receiver.
     async fn submit(entry: Entry) -> Outcome;
-    /// Sends crash records that are new to the sender.
+    /// Sends crash facts that are new to the sender.
     async fn told_crashes(facts: CrashFacts);
-    /// Returns all of the receiver's crash records.
+    /// Returns all crash facts known to the receiver.
     async fn crash_facts() -> CrashFacts;
     /// Sends server signals, such as limits, that are new to the sender.
     async fn told_hints(facts: Vec<HintFact>);
     /// Returns the server signals known to the receiver; a part of them if there are many.
     async fn hint_facts() -> Vec<HintFact>;
-    /// Requests permits for a server from the receiver. `fact` is the sender's record of the
-    /// server's limit.
+    /// Requests permits for a server from the receiver. `fact` is the server's limit as known to
+    /// the sender.
     async fn permits(fact: LimitFact, request: PermitRequest) -> PermitAnswer;
     /// Hands the receiver a bill, which it keeps until the store accepts it.
     async fn keep_bill(bill: Bill);
