--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -6,17 +6,17 @@
 
 use bankcove_bench::budget_load::{Failures, Load};
 use bankcove_bench::budget_policy::{POLICIES, Policy};
-use bankcove_bench::budget_world::{Outcome, World};
+use bankcove_bench::budget_simulation::{Outcome, Simulation};
 
 const SEED: u64 = 1;
 
 fn loads() -> Vec<Load> {
     // A request costs about 350 tokens at most and 210 in the mean, so 20 a
     // second for a minute spend about 250,000.
-    let outage = Failures { store_away: Some((15_000, 50_000)), ..Failures::default() };
+    let outage = Failures { store_outage: Some((15_000, 50_000)), ..Failures::default() };
     let killed = Failures { daemon_killed: Some(20_000), ..Failures::default() };
     let apart = Failures {
-        cut: Some((15_000, 45_000)),
+        partition: Some((15_000, 45_000)),
         top_up: Some((20_000, 150_000)),
         ..Failures::default()
     };
@@ -27,10 +27,10 @@
         Load::new("runs out", 8, 150_000, 20.0),
         Load::new("nearly gone", 8, 5_000, 20.0),
         shifting,
-        Load::new("outage, plenty", 8, 2_000_000, 20.0).failing(outage),
-        Load::new("outage, tight", 8, 260_000, 20.0).failing(outage),
-        Load::new("daemon killed", 8, 200_000, 20.0).failing(killed),
-        Load::new("top-up apart", 8, 110_000, 20.0).failing(apart),
+        Load::new("outage, plenty", 8, 2_000_000, 20.0).with_failures(outage),
+        Load::new("outage, tight", 8, 260_000, 20.0).with_failures(outage),
+        Load::new("daemon killed", 8, 200_000, 20.0).with_failures(killed),
+        Load::new("top-up apart", 8, 110_000, 20.0).with_failures(apart),
     ]
 }
 
@@ -53,7 +53,7 @@
 }
 
 fn print_row(load: &Load, policy: Policy, outcome: &Outcome) {
-    let seconds = load.length as f64 / 1000.0;
+    let seconds = load.length_ms as f64 / 1000.0;
     println!(
         "{:<16} {:<17} {:>8} {:>8} {:>8.2} {:>8.2} {:>9} {:>8.2} {:>8.2} {:>8.2} {:>7.2} {:>8}",
         load.name,
@@ -71,17 +71,17 @@
     );
 }
 
-fn compare() {
+fn print_comparison() {
     println!("\n# Design and baselines, seed {SEED}\n");
     print_header();
     for load in loads() {
         for policy in POLICIES {
-            print_row(&load, policy, &World::run(policy, &load, SEED));
+            print_row(&load, policy, &Simulation::run(policy, &load, SEED));
         }
     }
 }
 
-fn growth_with_hosts() {
+fn print_growth_with_hosts() {
     println!("\n# Growth with hosts: one budget, 4 requests a second at each daemon\n");
     println!(
         "{:>7} {:>10} {:>9} {:>10} {:>14} {:>12} {:>8}",
@@ -91,10 +91,10 @@
         let rate = 4.0 * daemons as f64;
         for (tokens, share) in [("plenty", 10.0), ("runs out", 0.6)] {
             // About 210 tokens a request are spent.
-            let tokens_of_budget = (rate * 10.0 * 210.0 * share) as u64;
-            let mut load = Load::new("growth", daemons, tokens_of_budget, rate);
-            load.length = 10_000;
-            let outcome = World::run(Policy::Design, &load, SEED);
+            let budget_tokens = (rate * 10.0 * 210.0 * share) as u64;
+            let mut load = Load::new("growth", daemons, budget_tokens, rate);
+            load.length_ms = 10_000;
+            let outcome = Simulation::run(Policy::Design, &load, SEED);
             assert_eq!(outcome.overspend, 0);
             println!(
                 "{daemons:>7} {tokens:>10} {:>9.2} {:>10.2} {:>14.3} {:>12} {:>8.2}",
@@ -108,7 +108,7 @@
     }
 }
 
-fn held_ahead() {
+fn print_held_ahead() {
     println!("\n# What to hold ahead: false refusals in %, by the column held_ahead\n");
     println!(
         "{:>10} {:>14} {:>14} {:>14}",
@@ -118,7 +118,7 @@
         let percent = |name: &str| {
             let mut load = loads().into_iter().find(|load| load.name == name).expect("a load");
             load.held_ahead = held_ahead;
-            World::run(Policy::Design, &load, SEED).false_percent()
+            Simulation::run(Policy::Design, &load, SEED).false_percent()
         };
         println!(
             "{held_ahead:>10} {:>14.2} {:>14.2} {:>14.2}",
@@ -129,7 +129,7 @@
     }
 }
 
-fn growth_with_budgets() {
+fn print_growth_with_budgets() {
     println!("\n# Growth with budgets: 32 daemons, 128 requests a second over all budgets\n");
     println!(
         "{:>8} {:>9} {:>9} {:>9} {:>12}",
@@ -138,7 +138,7 @@
     for budgets in [16, 64, 256, 1_024, 4_096] {
         let mut load = Load::new("budgets", 32, 10_000_000, 128.0);
         load.budgets = budgets;
-        let outcome = World::run(Policy::Design, &load, SEED);
+        let outcome = Simulation::run(Policy::Design, &load, SEED);
         println!(
             "{budgets:>8} {:>9.2} {:>9.2} {:>9.2} {:>12}",
             outcome.writes as f64 / 60.0,
@@ -150,8 +150,8 @@
 }
 
 fn main() {
-    compare();
-    held_ahead();
-    growth_with_hosts();
-    growth_with_budgets();
+    print_comparison();
+    print_held_ahead();
+    print_growth_with_hosts();
+    print_growth_with_budgets();
 }
--- a/crates/bench/benches/crashes.rs
+++ b/crates/bench/benches/crashes.rs
@@ -10,28 +10,28 @@
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
 /// Crashes that a book remembers at most.
-const CRASHES: usize = 256;
+const MAX_CRASHES: usize = 256;
 
 /// Requests aboard of a server in a pool that is half full.
-const ABOARD: usize = 32;
+const REQUESTS_PER_CRASH: usize = 32;
 
 /// A book after so many crashes, with as many requests aboard of each, all of them different
 /// but for one that three crashes speak against.
-fn book(crashes: usize) -> CrashTracker {
-    let mut book = CrashTracker::default();
+fn tracker(crashes: usize) -> CrashTracker {
+    let mut tracker = CrashTracker::default();
     for crash in 0..crashes {
         let server = ServerStart { name: Name::from(format!("i-{crash:010}")), started_ms: 0 };
         let now = 500 * crash as Millis;
-        for place in 0..ABOARD {
-            let request = Fingerprint(1_000 + (crash * ABOARD + place) as u128);
-            book.record_disconnect(now, &server, request);
+        for place in 0..REQUESTS_PER_CRASH {
+            let request = Fingerprint(1_000 + (crash * REQUESTS_PER_CRASH + place) as u128);
+            tracker.record_disconnect(now, &server, request);
         }
         if crash < 3 {
-            book.record_disconnect(now, &server, Fingerprint(1));
+            tracker.record_disconnect(now, &server, Fingerprint(1));
         }
-        book.record_crash(now, &server);
+        tracker.record_crash(now, &server);
     }
-    book
+    tracker
 }
 
 fn costs(c: &mut Criterion) {
@@ -41,25 +41,28 @@
             b.iter(|| Fingerprint::of("calls.example", "/a/b", "dispatch", black_box(&body)));
         });
     }
-    for crashes in [3, CRASHES] {
-        let known = book(crashes);
+    for crashes in [3, MAX_CRASHES] {
+        let tracker = tracker(crashes);
         let now = 500 * crashes as Millis;
-        let told = bincode::serialize(&known.facts(now)).expect("facts can be written");
-        println!("facts of {crashes} crashes, {ABOARD} aboard each: {} bytes", told.len());
+        let encoded = bincode::serialize(&tracker.facts(now)).expect("facts can be written");
+        println!(
+            "facts of {crashes} crashes, {REQUESTS_PER_CRASH} aboard each: {} bytes",
+            encoded.len()
+        );
         c.bench_function(&format!("verdict of an unknown request, {crashes} crashes"), |b| {
-            b.iter(|| known.verdict(black_box(Fingerprint(7))));
+            b.iter(|| tracker.verdict(black_box(Fingerprint(7))));
         });
         c.bench_function(&format!("verdict of one aboard, {crashes} crashes"), |b| {
-            b.iter(|| known.verdict(black_box(Fingerprint(1_000))));
+            b.iter(|| tracker.verdict(black_box(Fingerprint(1_000))));
         });
         c.bench_function(&format!("digest, {crashes} crashes"), |b| {
-            b.iter(|| known.digest(black_box(now)));
+            b.iter(|| tracker.digest(black_box(now)));
         });
-        let facts = known.facts(now);
+        let facts = tracker.facts(now);
         c.bench_function(&format!("taking in the facts of {crashes} crashes"), |b| {
             let fresh = || (CrashTracker::default(), facts.clone());
-            let take = |(mut book, facts): (CrashTracker, _)| book.merge(now, facts);
-            b.iter_batched(fresh, take, BatchSize::SmallInput);
+            let merge = |(mut tracker, facts): (CrashTracker, _)| tracker.merge(now, facts);
+            b.iter_batched(fresh, merge, BatchSize::SmallInput);
         });
     }
 }
@@ -69,26 +72,30 @@
 
 /// A full book, then three crashes with the same requests aboard.
 fn candidates() -> (CrashTracker, Millis) {
-    let mut book = book(CRASHES - 3);
-    let mut now = 500 * CRASHES as Millis;
+    let mut tracker = tracker(MAX_CRASHES - 3);
+    let mut now = 500 * MAX_CRASHES as Millis;
     for crash in 0..3 {
         now += 1_000;
         let server = ServerStart { name: Name::from(format!("j-{crash}")), started_ms: 0 };
         for place in 0..CANDIDATES {
-            book.record_disconnect(now, &server, Fingerprint(10 + place as u128));
+            tracker.record_disconnect(now, &server, Fingerprint(10 + place as u128));
         }
-        book.record_crash(now, &server);
+        tracker.record_crash(now, &server);
     }
-    (book, now + DECISION_DELAY_MS)
+    (tracker, now + DECISION_DELAY_MS)
 }
 
 fn decisions(c: &mut Criterion) {
-    let (known, now) = candidates();
+    let (tracker, now) = candidates();
     c.bench_function(&format!("deciding {CANDIDATES} requests with the same crashes"), |b| {
-        b.iter_batched(|| known.clone(), |mut book| book.decide(now), BatchSize::SmallInput);
+        b.iter_batched(
+            || tracker.clone(),
+            |mut tracker| tracker.decide(now),
+            BatchSize::SmallInput,
+        );
     });
     c.bench_function("place of one of them", |b| {
-        b.iter(|| known.placement(black_box(Fingerprint(10))));
+        b.iter(|| tracker.placement(black_box(Fingerprint(10))));
     });
 }
 
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p bankcove-bench --bench decision`
 
-use bankcove_bench::routing_world::table;
+use bankcove_bench::routing_simulation::table;
 use bankcove_core::router::{Router, RoutingRequest};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
--- a/crates/bench/benches/routing.rs
+++ b/crates/bench/benches/routing.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p bankcove-bench --bench routing`
 
-use bankcove_bench::routing_world::{Rule, Trouble, World};
+use bankcove_bench::routing_simulation::{Fault, RoutingPolicy, Simulation};
 
 const SEED: u64 = 1;
 const LENGTH_MS: u64 = 120_000;
@@ -22,23 +22,25 @@
         "sent again",
         "lost"
     );
-    for trouble in [Trouble::None, Trouble::SlowServer, Trouble::HallGone] {
+    for fault in [Fault::None, Fault::SlowServer, Fault::HallGone] {
         for rate in [60.0, 90.0] {
-            for rule in [Rule::Design, Rule::RoundRobin, Rule::LeastReported] {
-                let outcome = World::run(rule, trouble, rate, LENGTH_MS, SEED);
+            for policy in
+                [RoutingPolicy::Design, RoutingPolicy::RoundRobin, RoutingPolicy::LeastReported]
+            {
+                let outcome = Simulation::run(policy, fault, rate, LENGTH_MS, SEED);
                 let at = |quantile| outcome.first_token.value_at_quantile(quantile);
                 println!(
                     "{:<11} {:<14} {:>5} {:>8} {:>8} {:>8} {:>7.1} {:>8.2} {:>10} {:>5}",
-                    format!("{trouble:?}"),
-                    format!("{rule:?}"),
+                    format!("{fault:?}"),
+                    format!("{policy:?}"),
                     rate,
                     at(0.50),
                     at(0.95),
                     at(0.99),
-                    outcome.hits_percent,
-                    outcome.busiest,
-                    outcome.sent_again,
-                    outcome.lost,
+                    outcome.cache_hits_percent,
+                    outcome.busiest_ratio,
+                    outcome.retries,
+                    outcome.unserved,
                 );
             }
         }
--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::time::Instant;
 
-use bankcove_bench::routing_world::table;
+use bankcove_bench::routing_simulation::table;
 use bankcove_core::bill::Bill;
 use bankcove_core::crashes::ServerStart;
 use bankcove_core::hints::{HintFact, LeavingServers};
@@ -28,41 +28,41 @@
 use serde_json::json;
 
 /// Counts the bytes that are allocated and not yet freed.
-struct Counting;
+struct CountingAllocator;
 
-static HELD: AtomicI64 = AtomicI64::new(0);
+static ALLOCATED_BYTES: AtomicI64 = AtomicI64::new(0);
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: every call is handed to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as i64, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size() as i64, Ordering::Relaxed);
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as i64, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size() as i64, Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// Bytes held by what `make` makes.
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
-    let before = HELD.load(Ordering::Relaxed);
+fn allocated_bytes<T>(make: impl FnOnce() -> T) -> f64 {
+    let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
     let made = make();
-    let after = HELD.load(Ordering::Relaxed);
+    let after = ALLOCATED_BYTES.load(Ordering::Relaxed);
     drop(made);
     (after - before) as f64
 }
 
 /// Prints the sizes, the values, and the slope by least squares.
-fn slope(what: &str, unit: &str, sizes: [usize; 4], value: impl Fn(usize) -> f64) {
+fn slope(label: &str, unit: &str, sizes: [usize; 4], value: impl Fn(usize) -> f64) {
     let points: Vec<(f64, f64)> = sizes.iter().map(|n| (*n as f64, value(*n))).collect();
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -70,7 +70,7 @@
     let over: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
     let under: f64 = points.iter().map(|(x, _)| (x - mean_x) * (x - mean_x)).sum();
     let raw: Vec<String> = points.iter().map(|(x, y)| format!("{x}: {y:.0}")).collect();
-    println!("{what:<44} {:>9.2} {unit:<16} {}", over / under, raw.join(", "));
+    println!("{label:<44} {:>9.2} {unit:<16} {}", over / under, raw.join(", "));
 }
 
 fn json_bytes(value: &impl serde::Serialize) -> f64 {
@@ -173,24 +173,24 @@
 }
 
 /// A book of so many servers that name a limit.
-fn limit_book(servers: usize) -> LimitTracker {
-    let mut book = LimitTracker::default();
+fn limit_tracker(servers: usize) -> LimitTracker {
+    let mut tracker = LimitTracker::default();
     let rate = RequestRate::new(1.2).expect("it is a rate");
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
-        book.record_response(10, &server, 0, &LimitHeader::Limit(rate));
+        tracker.record_response(10, &server, 0, &LimitHeader::Limit(rate));
     }
-    book
+    tracker
 }
 
 /// So many starts of servers that leave.
-fn leaving(servers: usize) -> LeavingServers {
-    let mut leaving = LeavingServers::default();
+fn leaving_servers(servers: usize) -> LeavingServers {
+    let mut leaving_servers = LeavingServers::default();
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
-        leaving.add(10, &server, 0);
+        leaving_servers.add(10, &server, 0);
     }
-    leaving
+    leaving_servers
 }
 
 fn draw(budget: &Name) -> Draw {
@@ -225,7 +225,7 @@
 
 /// Nanoseconds of an owner's round for one draw, with so many other budgets
 /// and holders in its shard.
-fn owner_round(budgets: usize, holders: u64) -> f64 {
+fn owner_draw_ns(budgets: usize, holders: u64) -> f64 {
     const ROUNDS: u32 = 50;
     let shard = shard(budgets, holders);
     let name = Name::from("budget-0");
@@ -245,35 +245,41 @@
     started.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
 }
 
-fn memory() {
+fn print_memory() {
     println!("\n# Memory, bytes held for each");
     slope("router: a backend server", "B", [16, 160, 1_600, 10_000], |n| {
         let table = table(n, 10);
-        held(|| {
+        allocated_bytes(|| {
             let mut router = Router::default();
             router.adopt(&table);
             router
         })
     });
-    slope("table: a server's row", "B", [16, 160, 1_600, 10_000], |n| held(|| table(n, 10)));
-    slope("table: a budget's row", "B", [100, 1_000, 10_000, 39_000], |n| held(|| budget_table(n)));
-    slope("membership: a peer", "B", [10, 100, 500, 1_300], |n| held(|| members(n)));
-    slope("holder: a budget drawn on", "B", [100, 1_000, 10_000, 39_000], |n| held(|| holder(n)));
+    slope("table: a server's row", "B", [16, 160, 1_600, 10_000], |n| {
+        allocated_bytes(|| table(n, 10))
+    });
+    slope("table: a budget's row", "B", [100, 1_000, 10_000, 39_000], |n| {
+        allocated_bytes(|| budget_table(n))
+    });
+    slope("membership: a peer", "B", [10, 100, 500, 1_300], |n| allocated_bytes(|| members(n)));
+    slope("holder: a budget drawn on", "B", [100, 1_000, 10_000, 39_000], |n| {
+        allocated_bytes(|| holder(n))
+    });
     slope("owner: a grant in a shard", "B", [100, 500, 1_300, 5_000], |n| {
-        held(|| shard(1, n as u64))
+        allocated_bytes(|| shard(1, n as u64))
     });
     slope("limits: a server that names one", "B", [16, 160, 1_600, 10_000], |n| {
-        held(|| limit_book(n))
+        allocated_bytes(|| limit_tracker(n))
     });
     slope("leaving: a start, by starts that leave", "B", [16, 160, 1_600, 10_000], |n| {
-        held(|| leaving(n))
+        allocated_bytes(|| leaving_servers(n))
     });
     slope("request log: a remembered request", "B", [1_000, 4_000, 16_000, 64_000], |n| {
-        held(|| request_log(n))
+        allocated_bytes(|| request_log(n))
     });
 }
 
-fn stored() {
+fn print_stored() {
     println!("\n# Stored, bytes of JSON for each");
     slope("table: a server's row", "B", [16, 160, 1_600, 10_000], |n| json_bytes(&table(n, 10)));
     slope("table: a budget's row", "B", [100, 1_000, 10_000, 39_000], |n| {
@@ -286,31 +292,31 @@
     slope("log segment: a bill", "B", [10, 100, 500, 2_000], |n| json_bytes(&segment(n)));
 }
 
-fn sent() {
+fn print_messages() {
     println!("\n# Sent between daemons, bytes of each message's body");
     println!("{:<44} {:>9.2} B", "heartbeat, one way", wire_bytes(&heartbeat()));
     let budget = Name::from("budget-12345");
     println!("{:<44} {:>9.2} B", "draw", wire_bytes(&Request::Draw(draw(&budget))));
     println!("{:<44} {:>9.2} B", "bill submitted", wire_bytes(&Entry::Bill(bill(12_345))));
-    let fact = limit_book(1).facts(0, 1, 0).remove(0);
+    let fact = limit_tracker(1).facts(0, 1, 0).remove(0);
     println!("{:<44} {:>9.2} B", "limit of a server, told", wire_bytes(&fact));
-    let leaves = HintFact::Leaving(leaving(1).facts(0, 1, 0).remove(0));
+    let leaves = HintFact::Leaving(leaving_servers(1).facts(0, 1, 0).remove(0));
     println!("{:<44} {:>9.2} B", "server that leaves, told", wire_bytes(&leaves));
-    let wish = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
-    let asked = wire_bytes(&(fact, wish));
+    let request = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
+    let asked = wire_bytes(&(fact, request));
     let answer = PermitAnswer::denied(278);
     println!("{:<44} {:>9.2} B", "permit asked for and answered", asked + wire_bytes(&answer));
     let table: Table = table(10_000, 10);
     println!("{:<44} {:>9.0} B", "whole table of 10,000 servers", json_bytes(&table));
 }
 
-fn work() {
+fn print_work() {
     println!("\n# Work, nanoseconds and allocations for each");
     slope("owner: a draw, by grants in its budget", "ns", [1, 2, 4, 8], |n| {
-        owner_round(1, n as u64)
+        owner_draw_ns(1, n as u64)
     });
     slope("owner: a draw, by budgets in its shard", "ns", [10, 50, 150, 305], |n| {
-        owner_round(n, 3)
+        owner_draw_ns(n, 3)
     });
     slope("membership: owners of a key, by peers", "ns", [10, 100, 500, 1_300], |n| {
         const ROUNDS: u64 = 200;
@@ -328,12 +334,12 @@
     });
     slope("limits: an answer's head, by servers limited", "ns", [16, 160, 1_600, 10_000], |n| {
         const ROUNDS: u64 = 10_000;
-        let mut book = limit_book(n);
+        let mut tracker = limit_tracker(n);
         let server = ServerStart { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
-        let word = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
+        let header = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
         let started = Instant::now();
         for now in 0..ROUNDS {
-            std::hint::black_box(book.record_response(100 + now, &server, 50 + now, &word));
+            std::hint::black_box(tracker.record_response(100 + now, &server, 50 + now, &header));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
     });
@@ -346,9 +352,10 @@
         let started = Instant::now();
         for now in 0..ROUNDS {
             std::hint::black_box(members.owners_including_silent(server.key(), ISSUERS_PER_SERVER));
-            let wish = PermitRequest { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
-            let place = IssuerPosition { rank: 0, since: 0 };
-            std::hint::black_box(issuer.issue(10_000 + now, &server, limit, place, wish));
+            let request =
+                PermitRequest { from: Incarnation(now % n as u64), permits: 1, urgency: 0 };
+            let position = IssuerPosition { rank: 0, since: 0 };
+            std::hint::black_box(issuer.issue(10_000 + now, &server, limit, position, request));
         }
         started.elapsed().as_nanos() as f64 / ROUNDS as f64
     });
@@ -369,8 +376,8 @@
 }
 
 fn main() {
-    memory();
-    stored();
-    sent();
-    work();
+    print_memory();
+    print_stored();
+    print_messages();
+    print_work();
 }
--- a/crates/bench/src/budget_load.rs
+++ b/crates/bench/src/budget_load.rs
@@ -14,23 +14,23 @@
     /// The budget that pays.
     pub budget: usize,
     /// Its greatest cost.
-    pub limit: Tokens,
+    pub max_tokens: Tokens,
     /// Its actual cost.
-    pub used: Tokens,
+    pub used_tokens: Tokens,
     /// How long it runs.
-    pub runs_for: Millis,
+    pub duration_ms: Millis,
 }
 
 /// What fails, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Failures {
     /// The store is away from this time to that.
-    pub store_away: Option<(Millis, Millis)>,
+    pub store_outage: Option<(Millis, Millis)>,
     /// Daemon 1 ends at this time, with all it holds.
     pub daemon_killed: Option<Millis>,
     /// The upper half of the daemons is apart from the others and from the
     /// store, from this time to that.
-    pub cut: Option<(Millis, Millis)>,
+    pub partition: Option<(Millis, Millis)>,
     /// Tokens are added to each budget at this time.
     pub top_up: Option<(Millis, Tokens)>,
 }
@@ -49,7 +49,7 @@
     /// Requests a second, over all daemons.
     pub rate: f64,
     /// How long requests come, in milliseconds.
-    pub length: Millis,
+    pub length_ms: Millis,
     /// Whether demand wanders from hall to hall.
     pub shifting: bool,
     /// A daemon draws at most this part of what is available at once.
@@ -69,7 +69,7 @@
             budgets: 1,
             tokens,
             rate,
-            length: 60_000,
+            length_ms: 60_000,
             shifting: false,
             share_divisor: 4,
             held_ahead: 1.0,
@@ -79,7 +79,7 @@
 
     /// The same load with these failures.
     #[must_use]
-    pub fn failing(mut self, failures: Failures) -> Self {
+    pub fn with_failures(mut self, failures: Failures) -> Self {
         self.failures = failures;
         self
     }
@@ -91,17 +91,17 @@
         let mut arrivals = Vec::new();
         loop {
             at += -rng.random::<f64>().max(1e-12).ln() * 1000.0 / self.rate;
-            if at >= self.length as f64 {
+            if at >= self.length_ms as f64 {
                 return arrivals;
             }
-            let limit = rng.random_range(100..600);
+            let max_tokens = rng.random_range(100..600);
             arrivals.push(Arrival {
                 at: at as Millis,
                 daemon: self.daemon_at(at, &mut rng),
                 budget: rng.random_range(0..self.budgets),
-                limit,
-                used: rng.random_range(limit / 5..=limit),
-                runs_for: rng.random_range(100..3_000),
+                max_tokens,
+                used_tokens: rng.random_range(max_tokens / 5..=max_tokens),
+                duration_ms: rng.random_range(100..3_000),
             });
         }
     }
@@ -112,7 +112,7 @@
             return rng.random_range(0..self.daemons);
         }
         let halls = 3.min(self.daemons);
-        let hall = (at / self.length as f64 * halls as f64) as usize % halls;
+        let hall = (at / self.length_ms as f64 * halls as f64) as usize % halls;
         let in_hall = self.daemons.div_ceil(halls);
         (hall * in_hall + rng.random_range(0..in_hall)).min(self.daemons - 1)
     }
--- a/crates/bench/src/budget_world.rs
+++ b/crates/bench/src/budget_simulation.rs
@@ -20,30 +20,30 @@
 use crate::schedule::Schedule;
 
 /// One way between daemons.
-const LINK_MS: Millis = 1;
+const LINK_DELAY_MS: Millis = 1;
 
 /// A call of the store, there and back.
-const STORE_MS: Millis = 5;
+const STORE_CALL_MS: Millis = 5;
 
 /// Draws of one request before it is refused, as in the daemon.
-const DRAWS: u32 = 8;
+const MAX_DRAWS: u32 = 8;
 
-enum Happening {
-    Arrives(Arrival),
-    Ends {
+enum SimulationEvent {
+    RequestArrived(Arrival),
+    RequestEnded {
         daemon: usize,
         budget: usize,
         reservation: Option<Reservation>,
-        limit: Tokens,
-        used: Tokens,
+        max_tokens: Tokens,
+        used_tokens: Tokens,
     },
     OwnerEvent {
         daemon: usize,
         shard: u32,
         event: Event,
     },
-    Drawn {
-        asked: Asked,
+    DrawReplied {
+        pending: PendingDraw,
         reply: Reply,
         sent: Option<(Incarnation, Tokens)>,
     },
@@ -56,18 +56,18 @@
         daemon: usize,
     },
     TopUp(Tokens),
-    Killed,
+    DaemonKilled,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct WaitingRequest {
     arrival: Arrival,
     draws: u32,
 }
 
 /// A draw under way; nobody waits for one that is made ahead.
-struct Asked {
-    waiting: Option<Waiting>,
+struct PendingDraw {
+    waiting: Option<WaitingRequest>,
     daemon: usize,
     owner: usize,
     budget: Name,
@@ -75,73 +75,73 @@
 }
 
 /// The world of one run.
-pub struct World {
+pub struct Simulation {
     policy: Policy,
     load: Load,
-    schedule: Schedule<Happening>,
+    schedule: Schedule<SimulationEvent>,
     now: Millis,
     budgets: Vec<Name>,
     stored: HashMap<u32, (u64, Shard)>,
     owners: HashMap<(usize, u32), Owner>,
     holders: Vec<Holder>,
-    marks: Vec<WitnessMarks>,
-    tickets: HashMap<u64, Asked>,
-    ahead_at: HashMap<(usize, usize), Millis>,
+    witness_marks: Vec<WitnessMarks>,
+    pending_draws: HashMap<u64, PendingDraw>,
+    prefetched_at: HashMap<(usize, usize), Millis>,
     next_ticket: u64,
     /// Per budget: allowed, spent, set aside.
-    total: Vec<Tokens>,
+    allowed: Vec<Tokens>,
     spent: Vec<Tokens>,
-    set_aside: Vec<Tokens>,
+    reserved: Vec<Tokens>,
     versions: Vec<u64>,
     cached: Vec<Vec<Tokens>>,
-    top_ups_seen: HashSet<usize>,
+    topped_up: HashSet<usize>,
     outcome: Outcome,
 }
 
-impl World {
+impl Simulation {
     /// Runs `load` under `policy` and returns what it came to.
     pub fn run(policy: Policy, load: &Load, seed: u64) -> Outcome {
         let budgets: Vec<Name> =
             (0..load.budgets).map(|n| Name::from(format!("budget-{n}"))).collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             policy,
             schedule: Schedule::default(),
             now: 0,
             stored: HashMap::new(),
             owners: HashMap::new(),
             holders: (0..load.daemons).map(|n| Holder::new(Incarnation(n as u64))).collect(),
-            marks: vec![WitnessMarks::default(); load.daemons],
-            tickets: HashMap::new(),
-            ahead_at: HashMap::new(),
+            witness_marks: vec![WitnessMarks::default(); load.daemons],
+            pending_draws: HashMap::new(),
+            prefetched_at: HashMap::new(),
             next_ticket: 0,
-            total: vec![load.tokens; load.budgets],
+            allowed: vec![load.tokens; load.budgets],
             spent: vec![0; load.budgets],
-            set_aside: vec![0; load.budgets],
+            reserved: vec![0; load.budgets],
             versions: vec![0; load.budgets],
             cached: vec![vec![0; load.budgets]; load.daemons],
-            top_ups_seen: HashSet::new(),
+            topped_up: HashSet::new(),
             outcome: Outcome::default(),
             budgets,
             load: load.clone(),
         };
-        world.prepare(seed);
-        world.go_on();
-        world.finish()
+        simulation.schedule_initial_events(seed);
+        simulation.run_events();
+        simulation.finish()
     }
 
-    fn prepare(&mut self, seed: u64) {
+    fn schedule_initial_events(&mut self, seed: u64) {
         for arrival in self.load.arrivals(seed) {
-            self.schedule.at(arrival.at, Happening::Arrives(arrival));
+            self.schedule.at(arrival.at, SimulationEvent::RequestArrived(arrival));
         }
         if let Some((at, tokens)) = self.load.failures.top_up {
-            self.schedule.at(at, Happening::TopUp(tokens));
+            self.schedule.at(at, SimulationEvent::TopUp(tokens));
         }
         if let Some(at) = self.load.failures.daemon_killed {
-            self.schedule.at(at, Happening::Killed);
+            self.schedule.at(at, SimulationEvent::DaemonKilled);
         }
         if self.policy == Policy::CachedSum {
             for daemon in 0..self.load.daemons {
-                self.schedule.at(0, Happening::CacheRead { daemon });
+                self.schedule.at(0, SimulationEvent::CacheRead { daemon });
             }
         }
         if self.policy == Policy::EqualSplit {
@@ -155,33 +155,41 @@
         }
     }
 
-    fn go_on(&mut self) {
-        while let Some((at, what)) = self.schedule.take_next() {
+    fn run_events(&mut self) {
+        while let Some((at, event)) = self.schedule.take_next() {
             self.now = at;
-            match what {
-                Happening::Arrives(arrival) => self.arrives(arrival),
-                Happening::Ends { daemon, budget, reservation, limit, used } => {
-                    self.ends(daemon, budget, reservation, limit, used);
+            match event {
+                SimulationEvent::RequestArrived(arrival) => self.handle_arrival(arrival),
+                SimulationEvent::RequestEnded {
+                    daemon,
+                    budget,
+                    reservation,
+                    max_tokens,
+                    used_tokens,
+                } => {
+                    self.finish_request(daemon, budget, reservation, max_tokens, used_tokens);
                 }
-                Happening::OwnerEvent { daemon, shard, event } => {
-                    self.owner_event(daemon, shard, event);
+                SimulationEvent::OwnerEvent { daemon, shard, event } => {
+                    self.handle_owner_event(daemon, shard, event);
                 }
-                Happening::Drawn { asked, reply, sent } => self.drawn(asked, reply, sent),
-                Happening::CasDone { arrival, tries, version } => {
-                    self.cas_done(arrival, tries, version);
+                SimulationEvent::DrawReplied { pending, reply, sent } => {
+                    self.handle_draw_reply(pending, reply, sent)
                 }
-                Happening::CacheRead { daemon } => self.cache_read(daemon),
-                Happening::TopUp(tokens) => self.top_up(tokens),
-                Happening::Killed => self.killed(),
+                SimulationEvent::CasDone { arrival, tries, version } => {
+                    self.finish_cas(arrival, tries, version);
+                }
+                SimulationEvent::CacheRead { daemon } => self.refresh_cache(daemon),
+                SimulationEvent::TopUp(tokens) => self.top_up(tokens),
+                SimulationEvent::DaemonKilled => self.handle_daemon_killed(),
             }
         }
     }
 
     fn finish(mut self) -> Outcome {
-        let over = self.spent.iter().zip(&self.total).map(|(s, t)| s.saturating_sub(*t));
+        let over = self.spent.iter().zip(&self.allowed).map(|(s, t)| s.saturating_sub(*t));
         self.outcome.overspend = over.sum();
-        self.outcome.allowed = self.total.iter().sum();
-        let left = self.spent.iter().zip(&self.total).map(|(s, t)| t.saturating_sub(*s));
+        self.outcome.allowed = self.allowed.iter().sum();
+        let left = self.spent.iter().zip(&self.allowed).map(|(s, t)| t.saturating_sub(*s));
         self.outcome.left = left.sum();
         let sizes = self
             .stored
@@ -191,44 +199,44 @@
         self.outcome
     }
 
-    fn store_answers(&self, daemon: usize) -> bool {
+    fn can_reach_store(&self, daemon: usize) -> bool {
         let within = |span: Option<(Millis, Millis)>| {
             span.is_some_and(|(from, to)| (from..to).contains(&self.now))
         };
-        let cut_off = within(self.load.failures.cut) && self.is_upper(daemon);
-        !within(self.load.failures.store_away) && !cut_off
+        let is_partitioned = within(self.load.failures.partition) && self.is_in_upper_half(daemon);
+        !within(self.load.failures.store_outage) && !is_partitioned
     }
 
-    fn is_upper(&self, daemon: usize) -> bool {
+    fn is_in_upper_half(&self, daemon: usize) -> bool {
         daemon >= self.load.daemons / 2
     }
 
-    fn is_dead(&self, daemon: usize) -> bool {
+    fn is_killed(&self, daemon: usize) -> bool {
         daemon == 1 && self.load.failures.daemon_killed.is_some_and(|at| self.now >= at)
     }
 
-    fn linked(&self, one: usize, two: usize) -> bool {
-        let cut = self.load.failures.cut;
-        let cut = cut.is_some_and(|(from, to)| (from..to).contains(&self.now));
-        let apart = cut && self.is_upper(one) != self.is_upper(two);
-        !apart && !self.is_dead(one) && !self.is_dead(two)
+    fn can_reach(&self, one: usize, two: usize) -> bool {
+        let partition = self.load.failures.partition;
+        let partition = partition.is_some_and(|(from, to)| (from..to).contains(&self.now));
+        let apart = partition && self.is_in_upper_half(one) != self.is_in_upper_half(two);
+        !apart && !self.is_killed(one) && !self.is_killed(two)
     }
 
     fn top_up(&mut self, tokens: Tokens) {
         for budget in 0..self.budgets.len() {
-            self.total[budget] += tokens;
-            if !self.top_ups_seen.insert(budget) {
+            self.allowed[budget] += tokens;
+            if !self.topped_up.insert(budget) {
                 continue;
             }
             let name = self.budgets[budget].clone();
             let shard = shard_of_budget(&name, BUDGET_SHARDS);
             let request = Request::TopUp { budget: name, id: "top-up".to_owned(), tokens };
             let owner = self.owner_of(shard, 0);
-            self.owner_event(owner, shard, Event::Requested(0, request));
+            self.handle_owner_event(owner, shard, Event::Requested(0, request));
         }
     }
 
-    fn killed(&mut self) {
+    fn handle_daemon_killed(&mut self) {
         let accounts = self.holders[1].accounts().values();
         self.outcome.stranded = accounts.map(|account| account.free() + account.reserved).sum();
     }
--- a/crates/bench/src/budget_world/baseline.rs
+++ b/crates/bench/src/budget_simulation/baseline.rs
@@ -3,30 +3,31 @@
 use bankcove_core::Millis;
 
 use crate::budget_load::Arrival;
-use crate::budget_world::{DRAWS, Happening, STORE_MS, World};
+use crate::budget_simulation::{MAX_DRAWS, STORE_CALL_MS, Simulation, SimulationEvent};
 
 /// Time between two reads of [`Policy::CachedSum`].
-const CACHE_MS: Millis = 1_000;
+const CACHE_REFRESH_MS: Millis = 1_000;
 
-impl World {
+impl Simulation {
     pub(super) fn start_cas(&mut self, arrival: Arrival, tries: u32) {
         self.outcome.reads += 1;
         let version = self.versions[arrival.budget];
-        self.schedule.at(self.now + 2 * STORE_MS, Happening::CasDone { arrival, tries, version });
+        self.schedule
+            .at(self.now + 2 * STORE_CALL_MS, SimulationEvent::CasDone { arrival, tries, version });
     }
 
-    pub(super) fn cas_done(&mut self, arrival: Arrival, tries: u32, version: u64) {
-        if !self.store_answers(arrival.daemon) {
+    pub(super) fn finish_cas(&mut self, arrival: Arrival, tries: u32, version: u64) {
+        if !self.can_reach_store(arrival.daemon) {
             return self.refuse(arrival);
         }
-        let gone = self.spent[arrival.budget] + self.set_aside[arrival.budget];
-        if gone + arrival.limit > self.total[arrival.budget] {
+        let committed = self.spent[arrival.budget] + self.reserved[arrival.budget];
+        if committed + arrival.max_tokens > self.allowed[arrival.budget] {
             return self.refuse(arrival);
         }
         self.outcome.writes += 1;
         if version != self.versions[arrival.budget] {
             return match tries {
-                0..DRAWS => self.start_cas(arrival, tries + 1),
+                0..MAX_DRAWS => self.start_cas(arrival, tries + 1),
                 _ => self.refuse(arrival),
             };
         }
@@ -34,13 +35,13 @@
         self.admit(arrival, None);
     }
 
-    pub(super) fn cache_read(&mut self, daemon: usize) {
+    pub(super) fn refresh_cache(&mut self, daemon: usize) {
         self.outcome.reads += 1;
-        if self.store_answers(daemon) {
+        if self.can_reach_store(daemon) {
             self.cached[daemon].clone_from(&self.spent);
         }
-        if self.now < self.load.length {
-            self.schedule.at(self.now + CACHE_MS, Happening::CacheRead { daemon });
+        if self.now < self.load.length_ms {
+            self.schedule.at(self.now + CACHE_REFRESH_MS, SimulationEvent::CacheRead { daemon });
         }
     }
 }
--- a/crates/bench/src/budget_world/caller.rs
+++ b/crates/bench/src/budget_simulation/caller.rs
@@ -7,26 +7,28 @@
 
 use crate::budget_load::Arrival;
 use crate::budget_policy::Policy;
-use crate::budget_world::{Asked, DRAWS, Happening, LINK_MS, Waiting, World};
+use crate::budget_simulation::{
+    LINK_DELAY_MS, MAX_DRAWS, PendingDraw, Simulation, SimulationEvent, WaitingRequest,
+};
 
 /// Shortest time between two draws ahead, as in the daemon.
-const DRAW_AHEAD_MS: Millis = 1_000;
+const PREFETCH_INTERVAL_MS: Millis = 1_000;
 
-impl World {
-    pub(super) fn arrives(&mut self, arrival: Arrival) {
-        if self.is_dead(arrival.daemon) {
+impl Simulation {
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        if self.is_killed(arrival.daemon) {
             return;
         }
         self.outcome.requests += 1;
-        self.outcome.tokens += arrival.limit;
+        self.outcome.tokens += arrival.max_tokens;
         match self.policy {
             Policy::Design | Policy::GrantsOnly | Policy::EqualSplit => {
-                self.try_reserve(Waiting { arrival, draws: 0 });
+                self.try_reserve(WaitingRequest { arrival, draws: 0 });
             }
             Policy::UpdatePerRequest => self.start_cas(arrival, 0),
             Policy::CachedSum => {
                 let known = self.cached[arrival.daemon][arrival.budget];
-                if known + arrival.limit <= self.total[arrival.budget] {
+                if known + arrival.max_tokens <= self.allowed[arrival.budget] {
                     self.admit(arrival, None);
                 } else {
                     self.refuse(arrival);
@@ -36,17 +38,17 @@
     }
 
     pub(super) fn admit(&mut self, arrival: Arrival, reservation: Option<Reservation>) {
-        self.set_aside[arrival.budget] += arrival.limit;
+        self.reserved[arrival.budget] += arrival.max_tokens;
         let wait = self.now - arrival.at;
         self.outcome.longest_wait = self.outcome.longest_wait.max(wait);
         self.schedule.at(
-            self.now + arrival.runs_for,
-            Happening::Ends {
+            self.now + arrival.duration_ms,
+            SimulationEvent::RequestEnded {
                 daemon: arrival.daemon,
                 budget: arrival.budget,
                 reservation,
-                limit: arrival.limit,
-                used: arrival.used,
+                max_tokens: arrival.max_tokens,
+                used_tokens: arrival.used_tokens,
             },
         );
     }
@@ -55,28 +57,28 @@
         self.outcome.refused += 1;
         let wait = self.now - arrival.at;
         self.outcome.longest_wait = self.outcome.longest_wait.max(wait);
-        let gone = self.spent[arrival.budget] + self.set_aside[arrival.budget];
-        if gone + arrival.limit <= self.total[arrival.budget] {
+        let committed = self.spent[arrival.budget] + self.reserved[arrival.budget];
+        if committed + arrival.max_tokens <= self.allowed[arrival.budget] {
             self.outcome.false_refusals += 1;
-            self.outcome.false_tokens += arrival.limit;
+            self.outcome.false_tokens += arrival.max_tokens;
         }
     }
 
-    pub(super) fn ends(
+    pub(super) fn finish_request(
         &mut self,
         daemon: usize,
         budget: usize,
         reservation: Option<Reservation>,
-        limit: Tokens,
-        used: Tokens,
+        max_tokens: Tokens,
+        used_tokens: Tokens,
     ) {
-        self.spent[budget] += used;
-        self.set_aside[budget] -= limit;
-        if self.is_dead(daemon) {
+        self.spent[budget] += used_tokens;
+        self.reserved[budget] -= max_tokens;
+        if self.is_killed(daemon) {
             return;
         }
         if let Some(reservation) = reservation {
-            self.holders[daemon].settle(reservation, used);
+            self.holders[daemon].settle(reservation, used_tokens);
         } else if self.policy == Policy::UpdatePerRequest {
             // The difference goes back by another update.
             self.outcome.writes += 1;
@@ -84,21 +86,21 @@
         }
     }
 
-    pub(super) fn try_reserve(&mut self, waiting: Waiting) {
-        let Arrival { daemon, budget, limit, .. } = waiting.arrival;
+    pub(super) fn try_reserve(&mut self, waiting: WaitingRequest) {
+        let Arrival { daemon, budget, max_tokens, .. } = waiting.arrival;
         let name = self.budgets[budget].clone();
-        match self.holders[daemon].reserve(&name, limit, self.now) {
+        match self.holders[daemon].reserve(&name, max_tokens, self.now) {
             Ok(reservation) => {
                 self.admit(waiting.arrival, Some(reservation));
-                self.draw_ahead(waiting.arrival, &name);
+                self.prefetch(waiting.arrival, &name);
             }
             Err(_) if self.policy == Policy::EqualSplit => self.refuse(waiting.arrival),
-            Err(_) if waiting.draws >= DRAWS => self.refuse(waiting.arrival),
+            Err(_) if waiting.draws >= MAX_DRAWS => self.refuse(waiting.arrival),
             Err(short) if self.open(daemon, &name, short.missing) => {
-                let waiting = Waiting { draws: waiting.draws + 1, ..waiting };
+                let waiting = WaitingRequest { draws: waiting.draws + 1, ..waiting };
                 self.try_reserve(waiting);
             }
-            Err(short) => self.draw(waiting, &name, short.missing),
+            Err(short) => self.request_draw(waiting, &name, short.missing),
         }
     }
 
@@ -115,28 +117,29 @@
         }
     }
 
-    pub(super) fn draw_ahead(&mut self, arrival: Arrival, name: &Name) {
+    pub(super) fn prefetch(&mut self, arrival: Arrival, name: &Name) {
         if self.holders[arrival.daemon].needs_opening(name, self.now) {
             self.open(arrival.daemon, name, 0);
         }
-        let place = (arrival.daemon, arrival.budget);
-        let early = self.ahead_at.get(&place).is_some_and(|at| self.now < at + DRAW_AHEAD_MS);
+        let key = (arrival.daemon, arrival.budget);
+        let is_recent =
+            self.prefetched_at.get(&key).is_some_and(|at| self.now < at + PREFETCH_INTERVAL_MS);
         let grants = matches!(self.policy, Policy::Design | Policy::GrantsOnly);
-        let low = self.holders[arrival.daemon].is_low(name, &self.terms(), self.now);
-        if grants && low && !early {
-            self.ahead_at.insert(place, self.now);
-            self.ask(None, arrival.daemon, name, 0);
+        let is_low = self.holders[arrival.daemon].is_low(name, &self.terms(), self.now);
+        if grants && is_low && !is_recent {
+            self.prefetched_at.insert(key, self.now);
+            self.send_draw(None, arrival.daemon, name, 0);
         }
     }
 
-    pub(super) fn draw(&mut self, mut waiting: Waiting, name: &Name, need: Tokens) {
+    pub(super) fn request_draw(&mut self, mut waiting: WaitingRequest, name: &Name, need: Tokens) {
         waiting.draws += 1;
-        self.ask(Some(waiting), waiting.arrival.daemon, name, need);
+        self.send_draw(Some(waiting), waiting.arrival.daemon, name, need);
     }
 
-    pub(super) fn ask(
+    pub(super) fn send_draw(
         &mut self,
-        waiting: Option<Waiting>,
+        waiting: Option<WaitingRequest>,
         daemon: usize,
         name: &Name,
         need: Tokens,
@@ -150,35 +153,35 @@
         draw.witnesses.clone_from(&witnesses);
         draw.received = self.holders[daemon].received_from(name, Incarnation(owner as u64));
         self.next_ticket += 1;
-        let asked = Asked { waiting, daemon, owner, budget: name.clone(), witnesses };
-        self.tickets.insert(self.next_ticket, asked);
+        let pending = PendingDraw { waiting, daemon, owner, budget: name.clone(), witnesses };
+        self.pending_draws.insert(self.next_ticket, pending);
         self.outcome.messages += 2 * u64::from(owner != daemon);
         let event = Event::Requested(self.next_ticket, Request::Draw(draw));
-        let at = self.now + if owner == daemon { 0 } else { LINK_MS };
-        self.schedule.at(at, Happening::OwnerEvent { daemon: owner, shard, event });
+        let at = self.now + if owner == daemon { 0 } else { LINK_DELAY_MS };
+        self.schedule.at(at, SimulationEvent::OwnerEvent { daemon: owner, shard, event });
     }
 
-    pub(super) fn drawn(
+    pub(super) fn handle_draw_reply(
         &mut self,
-        asked: Asked,
+        pending: PendingDraw,
         reply: Reply,
         sent: Option<(Incarnation, Tokens)>,
     ) {
-        if self.is_dead(asked.daemon) {
+        if self.is_killed(pending.daemon) {
             return;
         }
         if let Some((owner, cumulative)) = sent {
-            self.holders[asked.daemon].record_received(&asked.budget, owner, cumulative);
+            self.holders[pending.daemon].record_received(&pending.budget, owner, cumulative);
         }
         if let Reply::Granted { granted, opened, recorded, .. } = reply {
-            let holder = &mut self.holders[asked.daemon];
-            holder.record_granted(&asked.budget, granted);
-            holder.record_opened(&asked.budget, opened);
+            let holder = &mut self.holders[pending.daemon];
+            holder.record_granted(&pending.budget, granted);
+            holder.record_opened(&pending.budget, opened);
             if recorded {
-                holder.set_recorded_witnesses(&asked.budget, &asked.witnesses);
+                holder.set_recorded_witnesses(&pending.budget, &pending.witnesses);
             }
         }
-        match (asked.waiting, reply) {
+        match (pending.waiting, reply) {
             (Some(waiting), Reply::Granted { .. }) => self.try_reserve(waiting),
             (Some(waiting), _) => self.refuse(waiting.arrival),
             (None, _) => {}
--- a/crates/bench/src/budget_world/owner.rs
+++ b/crates/bench/src/budget_simulation/owner.rs
@@ -7,22 +7,22 @@
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
 use crate::budget_policy::Policy;
-use crate::budget_world::{Happening, LINK_MS, STORE_MS, World};
+use crate::budget_simulation::{LINK_DELAY_MS, STORE_CALL_MS, Simulation, SimulationEvent};
 
 /// Wait for a peer that does not answer.
-const SILENT_MS: Millis = 200;
+const PEER_TIMEOUT_MS: Millis = 200;
 
-impl World {
+impl Simulation {
     /// The first daemon in reach, from a place that the shard decides.
     pub(super) fn owner_of(&self, shard: u32, daemon: usize) -> usize {
         let first = shard as usize * 7 % self.load.daemons;
         let ranked = (0..self.load.daemons).map(|n| (first + n) % self.load.daemons);
-        let mut usable = ranked.filter(|owner| self.linked(daemon, *owner));
+        let mut usable = ranked.filter(|owner| self.can_reach(daemon, *owner));
         usable.next().unwrap_or(daemon)
     }
 
-    pub(super) fn owner_event(&mut self, daemon: usize, shard: u32, event: Event) {
-        if self.is_dead(daemon) {
+    pub(super) fn handle_owner_event(&mut self, daemon: usize, shard: u32, event: Event) {
+        if self.is_killed(daemon) {
             return;
         }
         let collects = self.policy == Policy::Design;
@@ -33,26 +33,26 @@
         });
         let commands = owner.handle(self.now, event);
         for command in commands {
-            self.carry_out(daemon, shard, command);
+            self.execute(daemon, shard, command);
         }
     }
 
-    pub(super) fn carry_out(&mut self, daemon: usize, shard: u32, command: Command) {
-        let later = |event| Happening::OwnerEvent { daemon, shard, event };
+    pub(super) fn execute(&mut self, daemon: usize, shard: u32, command: Command) {
+        let later = |event| SimulationEvent::OwnerEvent { daemon, shard, event };
         match command {
             Command::Load => {
                 self.outcome.reads += 1;
-                let event = if self.store_answers(daemon) {
+                let event = if self.can_reach_store(daemon) {
                     let (version, value) = self.stored.get(&shard).cloned().unwrap_or_default();
                     Event::Loaded(version, value)
                 } else {
                     Event::StoreUnavailable
                 };
-                self.schedule.at(self.now + STORE_MS, later(event));
+                self.schedule.at(self.now + STORE_CALL_MS, later(event));
             }
             Command::Write(version, value) => {
                 let event = self.store_write(daemon, shard, version, value);
-                self.schedule.at(self.now + STORE_MS, later(event));
+                self.schedule.at(self.now + STORE_CALL_MS, later(event));
             }
             Command::Gather(budget, listed) => {
                 let (event, took) = self.gather(daemon, shard, budget, &listed);
@@ -64,7 +64,7 @@
                     self.holders[daemon].record_granted(&draw.budget, granted);
                     self.holders[daemon].record_opened(&draw.budget, opened);
                 }
-                self.give(daemon, ticket, &draw, max, reply);
+                self.transfer(daemon, ticket, &draw, max, reply);
             }
             Command::WakeAt(at) => self.schedule.at(at, later(Event::Tick)),
         }
@@ -74,12 +74,12 @@
     pub(super) fn witnesses(&self, daemon: usize) -> Vec<Witness> {
         let count = self.load.daemons;
         let others = (1..count).map(|n| (daemon + n) % count);
-        let linked = others.filter(|other| self.linked(daemon, *other));
+        let reachable = others.filter(|other| self.can_reach(daemon, *other));
         let witness = |n: usize| Witness {
             incarnation: Incarnation(n as u64),
             address: "127.0.0.1:20001".into(),
         };
-        linked.take(2).map(witness).collect()
+        reachable.take(2).map(witness).collect()
     }
 
     pub(super) fn open(&mut self, daemon: usize, budget: &Name, tokens: Tokens) -> bool {
@@ -90,21 +90,28 @@
         self.outcome.messages += 2 * opening.witnesses.len() as u64;
         let agreed = opening.witnesses.iter().all(|witness| {
             let n = witness.incarnation.0 as usize;
-            self.linked(daemon, n) && self.marks[n].open(me, budget, opening.opened)
+            self.can_reach(daemon, n) && self.witness_marks[n].open(me, budget, opening.opened)
         });
         agreed && self.holders[daemon].confirm_opening(budget, &opening)
     }
 
-    pub(super) fn reclaim(&mut self, daemon: usize, shard: u32, budget: &Name, gone: &HolderRef) {
-        let live = gone.witnesses.iter().map(|witness| witness.incarnation);
-        let live = live.into_iter().find(|n| self.linked(daemon, n.0 as usize));
+    pub(super) fn reclaim(
+        &mut self,
+        daemon: usize,
+        shard: u32,
+        budget: &Name,
+        killed_holder: &HolderRef,
+    ) {
+        let live = killed_holder.witnesses.iter().map(|witness| witness.incarnation);
+        let live = live.into_iter().find(|n| self.can_reach(daemon, n.0 as usize));
         let Some(witness) = live else { return };
         self.outcome.messages += 2;
-        let opened = self.marks[witness.0 as usize].close(gone.incarnation, budget);
-        let (budget, holder) = (budget.clone(), gone.incarnation);
+        let opened =
+            self.witness_marks[witness.0 as usize].close(killed_holder.incarnation, budget);
+        let (budget, holder) = (budget.clone(), killed_holder.incarnation);
         let request = Request::Reclaim { budget, holder, witness, opened };
         let event = Event::Requested(0, request);
-        self.schedule.at(self.now, Happening::OwnerEvent { daemon, shard, event });
+        self.schedule.at(self.now, SimulationEvent::OwnerEvent { daemon, shard, event });
     }
 
     pub(super) fn store_write(
@@ -115,7 +122,7 @@
         value: Shard,
     ) -> Event {
         self.outcome.writes += 1;
-        if !self.store_answers(daemon) {
+        if !self.can_reach_store(daemon) {
             return Event::StoreUnavailable;
         }
         let found = self.stored.get(&shard).map_or(0, |(version, _)| *version);
@@ -134,21 +141,21 @@
         listed: &[HolderRef],
     ) -> (Event, Millis) {
         for holder in listed {
-            if self.is_dead(holder.incarnation.0 as usize) {
+            if self.is_killed(holder.incarnation.0 as usize) {
                 self.reclaim(daemon, shard, &budget, holder);
             }
         }
         self.open(daemon, &budget, Tokens::MAX);
         let me = Incarnation(daemon as u64);
-        let mut took = 2 * LINK_MS;
+        let mut took = 2 * LINK_DELAY_MS;
         for holder in 0..self.load.daemons {
             let knows = self.holders[holder].accounts().contains_key(&budget);
             if holder == daemon || !knows {
                 continue;
             }
             self.outcome.messages += 2;
-            if !self.linked(daemon, holder) {
-                took = SILENT_MS;
+            if !self.can_reach(daemon, holder) {
+                took = PEER_TIMEOUT_MS;
                 continue;
             }
             self.open(holder, &budget, Tokens::MAX);
@@ -161,7 +168,7 @@
         (Event::Gathered { budget, free, more_expected: true }, took)
     }
 
-    pub(super) fn give(
+    pub(super) fn transfer(
         &mut self,
         owner: usize,
         ticket: u64,
@@ -181,8 +188,9 @@
     }
 
     pub(super) fn reply(&mut self, ticket: u64, reply: Reply, sent: Option<(Incarnation, Tokens)>) {
-        let Some(asked) = self.tickets.remove(&ticket) else { return };
-        let way = if asked.owner == asked.daemon { 0 } else { LINK_MS };
-        self.schedule.at(self.now + way, Happening::Drawn { asked, reply, sent });
+        let Some(pending) = self.pending_draws.remove(&ticket) else { return };
+        let delay_ms = if pending.owner == pending.daemon { 0 } else { LINK_DELAY_MS };
+        self.schedule
+            .at(self.now + delay_ms, SimulationEvent::DrawReplied { pending, reply, sent });
     }
 }
--- /dev/null
+++ b/crates/bench/src/hint_simulation/gossip.rs
@@ -0,0 +1,108 @@
+//! What daemons read in answers, and tell each other.
+
+use bankcove_core::Millis;
+use bankcove_core::hints::LeavingFact;
+use bankcove_core::router::Choice;
+use rand::Rng;
+
+use super::{Event, HEARTBEAT_MS, ResponseHead, RestHandling, Simulation};
+
+const HEARTBEAT_FANOUT: usize = 2;
+const FANOUT: usize = 10;
+const BATCH_DELAY_MS: Millis = 20;
+const PULL_INTERVAL_MS: Millis = 1_000;
+const MAX_PULLED: usize = 512;
+/// Bytes of a word on the wire: a name of some 12 bytes, a start, an age and their lengths.
+const FACT_BYTES: u64 = 40;
+
+impl Simulation {
+    pub(super) fn observe(&mut self, daemon: usize, choice: &Choice, head: ResponseHead) {
+        let (now, start) = (self.now, choice.start());
+        if head.is_leaving {
+            self.check.record_leaving(daemon, &start, now);
+            if let Some(fact) = self.daemons[daemon].router.observe_leaving(now, &start) {
+                self.announce_leaving(daemon, vec![fact]);
+                self.record_propagation(&start);
+            }
+        }
+        let Some(rest_ms) = head.rest_ms else { return };
+        if self.setup.rest_handling == RestHandling::Ignored {
+            return;
+        }
+        let is_new = self.daemons[daemon].router.observe_rest(now, &start, rest_ms);
+        if !is_new || self.setup.rest_handling != RestHandling::Told {
+            return;
+        }
+        for to in self.peers(daemon, FANOUT) {
+            self.outcome.bytes += FACT_BYTES;
+            let at = now + BATCH_DELAY_MS + self.delay();
+            let left_ms = rest_ms.saturating_sub(BATCH_DELAY_MS);
+            self.events.at(at, Event::Rest { to, server: start.clone(), left_ms });
+        }
+    }
+
+    fn peers(&mut self, from: usize, most: usize) -> Vec<usize> {
+        let count = most.min(self.daemons.len() - 1);
+        let drawn: Vec<usize> =
+            (0..count).map(|_| self.rng.random_range(0..self.daemons.len())).collect();
+        let reached = |to: &usize| *to != from && self.setup.faults.can_reach(from, *to, self.now);
+        drawn.into_iter().filter(reached).collect()
+    }
+
+    fn announce_leaving(&mut self, from: usize, facts: Vec<LeavingFact>) {
+        for to in self.peers(from, FANOUT) {
+            self.outcome.bytes += FACT_BYTES * facts.len() as u64;
+            let at = self.now + BATCH_DELAY_MS + self.delay();
+            let aged = facts.iter().cloned();
+            let facts =
+                aged.map(|f| LeavingFact { age_ms: f.age_ms + BATCH_DELAY_MS, ..f }).collect();
+            self.events.at(at, Event::Leaving { to, facts });
+        }
+    }
+
+    pub(super) fn receive_leaving(&mut self, to: usize, facts: &[LeavingFact]) {
+        let new = self.daemons[to].router.merge_leaving(self.now, facts);
+        for fact in &new {
+            self.record_propagation(&fact.server);
+        }
+        if !new.is_empty() {
+            self.announce_leaving(to, new);
+        }
+    }
+
+    /// Notes how long it took until all daemons that are up knew of the first word.
+    fn record_propagation(&mut self, server: &bankcove_core::crashes::ServerStart) {
+        let Some(at) = self.check.first_announcement(server) else { return };
+        let knows = |daemon: &super::Daemon| daemon.router.check_open(self.now, server).is_err();
+        if self.daemons.iter().all(knows) {
+            let took = self.now - at;
+            self.outcome.propagation_ms =
+                Some(self.outcome.propagation_ms.map_or(took, |known| known.max(took)));
+        }
+    }
+
+    pub(super) fn heartbeat(&mut self, daemon: usize) {
+        self.events.at(self.now + HEARTBEAT_MS, Event::Heartbeat { daemon });
+        self.daemons[daemon].router.expire_closed(self.now);
+        for peer in self.peers(daemon, HEARTBEAT_FANOUT) {
+            let is_suspended = self.setup.faults.resumes_at(peer, self.now).is_some();
+            let digest = |n: usize| self.daemons[n].router.leaving_digest();
+            if is_suspended || digest(daemon) == digest(peer) {
+                continue;
+            }
+            self.pull_facts(daemon, peer);
+            self.pull_facts(peer, daemon);
+        }
+    }
+
+    fn pull_facts(&mut self, puller: usize, peer: usize) {
+        if self.now < self.daemons[puller].next_pull_at {
+            return;
+        }
+        self.daemons[puller].next_pull_at = self.now + PULL_INTERVAL_MS;
+        let offset = self.rng.random_range(0..usize::MAX);
+        let facts = self.daemons[peer].router.leaving_facts(self.now, MAX_PULLED, offset);
+        self.outcome.bytes += FACT_BYTES * facts.len() as u64;
+        self.receive_leaving(puller, &facts);
+    }
+}
--- a/crates/bench/src/hint_world/setup.rs
+++ b/crates/bench/src/hint_simulation/setup.rs
@@ -3,11 +3,11 @@
 use bankcove_core::Millis;
 use hdrhistogram::Histogram;
 
-use crate::limit_world::Troubles;
+use crate::limit_simulation::Faults;
 
 /// Who keeps to a rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RestWay {
+pub enum RestHandling {
     /// Nobody.
     Ignored,
     /// The daemon that was asked for it.
@@ -18,15 +18,15 @@
 
 /// What a server does from a moment on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Its answers say that it leaves.
-    Leaves,
+    Leave,
     /// It turns everything away and asks for so much rest.
-    Sheds(Millis),
+    Shed(Millis),
     /// It turns away what goes beyond its slots, and asks for so much rest then.
-    Serves(Option<Millis>),
+    Serve(Option<Millis>),
     /// Another start of it is listed, and serves.
-    StartsAgain,
+    Restart,
 }
 
 /// One run.
@@ -43,17 +43,17 @@
     /// Shortest and longest time of a run.
     pub run_ms: (Millis, Millis),
     /// What a server does, and from when on.
-    pub acts: Vec<(Millis, usize, Act)>,
+    pub actions: Vec<(Millis, usize, Action)>,
     /// Requests a second of all callers.
     pub per_second: f64,
     /// Length of the run.
     pub length_ms: Millis,
     /// Who keeps to rests.
-    pub way: RestWay,
+    pub rest_handling: RestHandling,
     /// How long a request waits for a rest to end.
-    pub patience_ms: Millis,
+    pub max_wait_ms: Millis,
     /// What befalls the daemons.
-    pub troubles: Troubles,
+    pub faults: Faults,
 }
 
 /// What came of a run.
@@ -61,21 +61,21 @@
 pub struct Outcome {
     /// Requests that reached a server from a daemon over half a second after that daemon had
     /// read that it leaves.
-    pub late: usize,
+    pub late_requests: usize,
     /// Most requests of one daemon within one rest that it was asked for.
-    pub worst_rest: usize,
+    pub max_in_rest: usize,
     /// Requests of callers, and those that were served.
     pub requests: usize,
     /// Requests that a server ran.
     pub served: usize,
     /// Requests that a server turned away.
-    pub turned_away: usize,
+    pub rejected: usize,
     /// Refusals to callers, who may have come back.
     pub refused: usize,
     /// From a caller's first request to the answer, in milliseconds.
     pub delay: Histogram<u64>,
     /// From the first word that a server leaves until all daemons know, the longest.
-    pub known_ms: Option<Millis>,
+    pub propagation_ms: Option<Millis>,
     /// Bytes of words between daemons.
     pub bytes: u64,
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -4,8 +4,8 @@
 
 pub mod budget_load;
 pub mod budget_policy;
-pub mod budget_world;
-pub mod hint_world;
-pub mod limit_world;
-pub mod routing_world;
+pub mod budget_simulation;
+pub mod hint_simulation;
+pub mod limit_simulation;
+pub mod routing_simulation;
 pub mod schedule;
--- a/crates/bench/src/limit_world/event.rs
+++ b/crates/bench/src/limit_simulation/event.rs
@@ -5,58 +5,58 @@
 
 /// A request of a caller.
 #[derive(Debug, Clone)]
-pub struct Req {
+pub struct CallerRequest {
     pub daemon: usize,
     pub first: usize,
-    pub came: Millis,
-    pub arrived: Millis,
-    pub returns: u32,
-    pub asks: usize,
+    pub first_at: Millis,
+    pub arrived_at: Millis,
+    pub retries: u32,
+    pub permit_requests: usize,
 }
 
 /// What happens at a moment.
 #[derive(Debug)]
 pub enum Event {
-    Caller,
-    Request(Req),
-    Choose(Req),
-    Ask {
+    NewRequest,
+    Request(CallerRequest),
+    Retry(CallerRequest),
+    PermitRequested {
         from: usize,
         to: usize,
         server: usize,
         fact: LimitFact,
-        wish: PermitRequest,
-        asked_at: Millis,
-        ask: u64,
+        request: PermitRequest,
+        requested_at: Millis,
+        call_id: u64,
     },
-    Answer {
+    PermitResponse {
         server: usize,
         issued: Issued,
-        is_free: bool,
-        newer: Option<LimitFact>,
-        asked_at: Millis,
-        ask: u64,
+        is_unlimited: bool,
+        newer_fact: Option<LimitFact>,
+        requested_at: Millis,
+        call_id: u64,
     },
-    Timeout {
-        ask: u64,
+    PermitTimeout {
+        call_id: u64,
         server: usize,
         peer: usize,
     },
-    Head {
+    Response {
         daemon: usize,
         server: usize,
-        asked_at: Millis,
-        word: LimitHeader,
+        requested_at: Millis,
+        header: LimitHeader,
     },
-    Told {
+    Facts {
         to: usize,
         facts: Vec<LimitFact>,
         sent_at: Millis,
     },
-    Beat {
+    Heartbeat {
         daemon: usize,
     },
-    Start {
+    DaemonStart {
         daemon: usize,
     },
 }
--- a/crates/bench/src/limit_world/fleet.rs
+++ b/crates/bench/src/limit_simulation/fleet.rs
@@ -11,39 +11,39 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::trouble::{Kind, Troubles};
+use super::fault::{FaultKind, Faults};
 
 /// Longest time until a daemon knows of one that joined or left.
-const LIST_LAG_MS: Millis = 2_000;
+const MAX_MEMBERSHIP_LAG_MS: Millis = 2_000;
 
 /// One daemon.
 #[derive(Debug, Default)]
 pub struct Daemon {
-    pub book: LimitTracker,
+    pub limits: LimitTracker,
     pub issuer: Issuer,
     pub leases: Leases,
-    pub returns: RetrySchedule,
+    pub retry_schedule: RetrySchedule,
     /// Servers that get nothing until then.
-    pub passed_over: Vec<Millis>,
+    pub skipped_until: Vec<Millis>,
     /// Issuers that did not answer, until then.
-    pub silent: HashMap<usize, Millis>,
+    pub unresponsive_until: HashMap<usize, Millis>,
     /// For fleets without issuers: what is saved up for each server, and since when.
-    pub saved: Vec<(f64, Millis)>,
+    pub own_share: Vec<(f64, Millis)>,
     pub started_at: Millis,
 }
 
 impl Daemon {
     pub fn new(servers: usize, started_at: Millis) -> Self {
         Daemon {
-            passed_over: vec![0; servers],
-            saved: vec![(0.0, started_at); servers],
+            skipped_until: vec![0; servers],
+            own_share: vec![(0.0, started_at); servers],
             started_at,
             ..Daemon::default()
         }
     }
 
-    pub fn silent_until(&self, peer: usize) -> Millis {
-        self.silent.get(&peer).copied().unwrap_or_default()
+    pub fn unresponsive_until(&self, peer: usize) -> Millis {
+        self.unresponsive_until.get(&peer).copied().unwrap_or_default()
     }
 }
 
@@ -52,33 +52,35 @@
 pub struct Fleet {
     keys: Vec<u64>,
     /// A daemon is away from the first of these to the second.
-    away: Vec<Vec<(Millis, Millis)>>,
-    lags: Vec<Millis>,
+    absences: Vec<Vec<(Millis, Millis)>>,
+    membership_lags: Vec<Millis>,
 }
 
 impl Fleet {
-    pub fn new(seed: u64, daemons: usize, troubles: &Troubles) -> Self {
+    pub fn new(seed: u64, daemons: usize, faults: &Faults) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ 1);
-        let mut away = vec![Vec::new(); daemons];
-        for trouble in troubles.0.iter().filter(|trouble| trouble.kind == Kind::Gone) {
-            for daemon in &trouble.daemons {
-                away[*daemon].push((trouble.from, trouble.until));
+        let mut absences = vec![Vec::new(); daemons];
+        for fault in faults.0.iter().filter(|fault| fault.kind == FaultKind::Absent) {
+            for daemon in &fault.daemons {
+                absences[*daemon].push((fault.from, fault.until));
             }
         }
         Fleet {
             keys: (0..daemons).map(|_| rng.random()).collect(),
-            lags: (0..daemons).map(|_| rng.random_range(0..LIST_LAG_MS)).collect(),
-            away,
+            membership_lags: (0..daemons)
+                .map(|_| rng.random_range(0..MAX_MEMBERSHIP_LAG_MS))
+                .collect(),
+            absences,
         }
     }
 
     fn is_listed(&self, at: usize, daemon: usize, now: Millis) -> bool {
-        let seen = now.saturating_sub(self.lags[at]);
-        let is_away = |(from, until): &(Millis, Millis)| {
+        let seen = now.saturating_sub(self.membership_lags[at]);
+        let is_absent = |(from, until): &(Millis, Millis)| {
             // Before the run began nobody has heard of what joins later.
             (*from == 0 || *from <= seen) && seen < *until
         };
-        at == daemon || !self.away[daemon].iter().any(is_away)
+        at == daemon || !self.absences[daemon].iter().any(is_absent)
     }
 
     /// Who issues permits for the server, as this daemon sees it.
@@ -92,7 +94,7 @@
     }
 
     /// What this daemon is to the server, by its own view.
-    pub fn place(
+    pub fn position(
         &self,
         at: usize,
         server: &ServerStart,
@@ -100,8 +102,8 @@
         started: Millis,
     ) -> IssuerPosition {
         let rank = self.issuers(at, server, now).iter().position(|issuer| *issuer == at);
-        let ends = self.away.iter().flatten().flat_map(|(from, until)| [*from, *until]);
-        let seen = ends.map(|end| end + self.lags[at]).filter(|seen| *seen <= now);
+        let ends = self.absences.iter().flatten().flat_map(|(from, until)| [*from, *until]);
+        let seen = ends.map(|end| end + self.membership_lags[at]).filter(|seen| *seen <= now);
         let since = seen.max().unwrap_or_default().max(started);
         IssuerPosition { rank: rank.unwrap_or(usize::MAX), since }
     }
--- a/crates/bench/src/limit_world/setup.rs
+++ b/crates/bench/src/limit_simulation/setup.rs
@@ -3,11 +3,11 @@
 use bankcove_core::Millis;
 use hdrhistogram::Histogram;
 
-use super::trouble::Troubles;
+use super::fault::Faults;
 
 /// How a fleet keeps to a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Enforcement {
     /// Nobody reads it.
     None,
     /// Each daemon has an equal part, of which it saves up one request.
@@ -20,7 +20,7 @@
 
 /// What callers do while no server has a permit for them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum WaitPolicy {
     /// They are refused at once.
     None,
     /// They wait this long for a permit.
@@ -41,20 +41,20 @@
     /// Length of the run.
     pub length_ms: Millis,
     /// How the fleet keeps to limits.
-    pub way: Way,
+    pub enforcement: Enforcement,
     /// What callers without a permit do.
-    pub patience: Patience,
+    pub wait_policy: WaitPolicy,
     /// What befalls the daemons.
-    pub troubles: Troubles,
+    pub faults: Faults,
 }
 
 /// What came of a run.
 #[derive(Debug)]
 pub struct Outcome {
     /// For each server: when requests came that the rule counts.
-    pub counted: Vec<Vec<Millis>>,
+    pub counted_arrivals: Vec<Vec<Millis>>,
     /// For each server: when requests came.
-    pub came: Vec<Vec<Millis>>,
+    pub arrivals: Vec<Vec<Millis>>,
     /// Requests that a server took, of how many.
     pub served: usize,
     /// Requests of callers.
@@ -66,7 +66,7 @@
     /// Bytes between daemons for limits.
     pub bytes: u64,
     /// Calls of issuers.
-    pub asks: u64,
+    pub permit_requests: u64,
     /// When the last daemon knew of the first limit, in milliseconds after its first word.
-    pub known_ms: Option<Millis>,
+    pub propagation_ms: Option<Millis>,
 }
--- a/crates/bench/src/routing_world.rs
+++ b/crates/bench/src/routing_simulation.rs
@@ -14,30 +14,30 @@
 use crate::schedule::Schedule;
 
 /// Requests that one engine runs at once.
-const SLOTS: usize = 8;
+const SLOTS_PER_SERVER: usize = 8;
 
 /// Prefixes that one engine keeps.
-const CACHED_PREFIXES: usize = 24;
+const CACHED_PREFIXES_PER_SERVER: usize = 24;
 
 /// Different prefixes that callers use.
 const PREFIXES: u64 = 400;
 
 /// Time to read a prompt whose prefix is not cached, and one whose is.
-const COLD_MS: Millis = 240;
-const WARM_MS: Millis = 40;
+const UNCACHED_PREFILL_MS: Millis = 240;
+const CACHED_PREFILL_MS: Millis = 40;
 
 /// Time between two tokens.
-const STEP_MS: Millis = 20;
+const TOKEN_MS: Millis = 20;
 
 /// Longest time to a first token that is told apart.
-const MAX_MS: u64 = 600_000;
+const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 
 /// Age of load reports, and the time between them.
-const REPORT_MS: Millis = 500;
+const REPORT_INTERVAL_MS: Millis = 500;
 
 /// How a server is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
+pub enum RoutingPolicy {
     /// The daemon's own router.
     Design,
     /// Each server in its turn.
@@ -48,7 +48,7 @@
 
 /// What fails in the second half.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// Nothing.
     None,
     /// One server is ten times as slow.
@@ -63,29 +63,29 @@
     /// Time to the first token, in milliseconds.
     pub first_token: Histogram<u64>,
     /// Requests whose prefix was cached, in %.
-    pub hits_percent: f64,
+    pub cache_hits_percent: f64,
     /// Requests at the busiest server, against the mean.
-    pub busiest: f64,
+    pub busiest_ratio: f64,
     /// Requests that a server refused and that were sent again.
-    pub sent_again: u64,
+    pub retries: u64,
     /// Requests that found no server.
-    pub lost: u64,
+    pub unserved: u64,
     /// Requests in all.
     pub requests: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    arrived: Millis,
+    arrived_at: Millis,
     daemon: usize,
     prefix: u64,
     tokens: u64,
 }
 
-enum Happening {
-    Arrives(Request),
-    Ends { server: usize, request: Request },
-    Report,
+enum SimulationEvent {
+    RequestArrived(Request),
+    RequestEnded { server: usize, request: Request },
+    ReportLoad,
 }
 
 #[derive(Debug, Default)]
@@ -97,17 +97,17 @@
 }
 
 /// The world of one run.
-pub struct World {
-    rule: Rule,
-    trouble: Trouble,
-    length: Millis,
+pub struct Simulation {
+    policy: RoutingPolicy,
+    fault: Fault,
+    length_ms: Millis,
     now: Millis,
-    schedule: Schedule<Happening>,
+    schedule: Schedule<SimulationEvent>,
     engines: Vec<Engine>,
     halls: usize,
     routers: Vec<Router>,
     reported: Vec<u32>,
-    in_turn: usize,
+    round_robin_next: usize,
     rng: StdRng,
     outcome: Outcome,
     hits: u64,
@@ -131,9 +131,15 @@
     serde_json::from_value(value).expect("the value has the shape of a table")
 }
 
-impl World {
+impl Simulation {
     /// Runs a load of `rate` requests a second for `length` milliseconds.
-    pub fn run(rule: Rule, trouble: Trouble, rate: f64, length: Millis, seed: u64) -> Outcome {
+    pub fn run(
+        policy: RoutingPolicy,
+        fault: Fault,
+        rate: f64,
+        length_ms: Millis,
+        seed: u64,
+    ) -> Outcome {
         let (daemons, servers, halls) = (8, 18, 3);
         let table = table(servers, halls);
         let router = || {
@@ -141,60 +147,62 @@
             router.adopt(&table);
             router
         };
-        let mut world = World {
-            rule,
-            trouble,
-            length,
+        let mut simulation = Simulation {
+            policy,
+            fault,
+            length_ms,
             now: 0,
             schedule: Schedule::default(),
             engines: (0..servers).map(|_| Engine::default()).collect(),
             halls,
             routers: (0..daemons).map(|_| router()).collect(),
             reported: vec![0; servers],
-            in_turn: 0,
+            round_robin_next: 0,
             rng: StdRng::seed_from_u64(seed),
             outcome: Outcome {
-                first_token: Histogram::new_with_bounds(1, MAX_MS, 3)
+                first_token: Histogram::new_with_bounds(1, MAX_FIRST_TOKEN_MS, 3)
                     .expect("the bounds are usable"),
-                hits_percent: 0.0,
-                busiest: 0.0,
-                sent_again: 0,
-                lost: 0,
+                cache_hits_percent: 0.0,
+                busiest_ratio: 0.0,
+                retries: 0,
+                unserved: 0,
                 requests: 0,
             },
             hits: 0,
         };
-        world.prepare(rate, daemons);
-        world.go_on();
-        world.finish()
+        simulation.schedule_initial_events(rate, daemons);
+        simulation.run_events();
+        simulation.finish()
     }
 
-    fn prepare(&mut self, rate: f64, daemons: usize) {
+    fn schedule_initial_events(&mut self, rate: f64, daemons: usize) {
         let mut at = 0.0;
-        while at < self.length as f64 {
+        while at < self.length_ms as f64 {
             at += -self.rng.random::<f64>().max(1e-12).ln() * 1000.0 / rate;
             // The square favours low numbers: few prefixes are used by many.
             let part: f64 = self.rng.random();
             let request = Request {
-                arrived: at as Millis,
+                arrived_at: at as Millis,
                 daemon: self.rng.random_range(0..daemons),
                 prefix: (part * part * PREFIXES as f64) as u64,
                 tokens: self.rng.random_range(10..80),
             };
-            self.schedule.at(request.arrived, Happening::Arrives(request));
+            self.schedule.at(request.arrived_at, SimulationEvent::RequestArrived(request));
         }
-        for n in 0..=self.length / REPORT_MS {
-            self.schedule.at(n * REPORT_MS, Happening::Report);
+        for n in 0..=self.length_ms / REPORT_INTERVAL_MS {
+            self.schedule.at(n * REPORT_INTERVAL_MS, SimulationEvent::ReportLoad);
         }
     }
 
-    fn go_on(&mut self) {
-        while let Some((at, what)) = self.schedule.take_next() {
+    fn run_events(&mut self) {
+        while let Some((at, event)) = self.schedule.take_next() {
             self.now = at;
-            match what {
-                Happening::Arrives(request) => self.arrives(request),
-                Happening::Ends { server, request } => self.ends(server, request),
-                Happening::Report => self.report(),
+            match event {
+                SimulationEvent::RequestArrived(request) => self.handle_arrival(request),
+                SimulationEvent::RequestEnded { server, request } => {
+                    self.finish_request(server, request)
+                }
+                SimulationEvent::ReportLoad => self.report_load(),
             }
         }
     }
@@ -203,25 +211,25 @@
         let served: Vec<u64> = self.engines.iter().map(|engine| engine.served).collect();
         let mean = served.iter().sum::<u64>() as f64 / served.len() as f64;
         let most = served.iter().max().copied().unwrap_or(0) as f64;
-        self.outcome.busiest = most / mean;
-        self.outcome.hits_percent = 100.0 * self.hits as f64 / self.outcome.requests as f64;
+        self.outcome.busiest_ratio = most / mean;
+        self.outcome.cache_hits_percent = 100.0 * self.hits as f64 / self.outcome.requests as f64;
         self.outcome
     }
 
-    fn in_trouble(&self) -> bool {
-        self.now >= self.length / 2
+    fn is_fault_active(&self) -> bool {
+        self.now >= self.length_ms / 2
     }
 
     fn refuses(&self, server: usize) -> bool {
-        self.trouble == Trouble::HallGone && self.in_trouble() && server % self.halls == 0
+        self.fault == Fault::HallGone && self.is_fault_active() && server % self.halls == 0
     }
 
-    fn slowness(&self, server: usize) -> Millis {
-        let slow = self.trouble == Trouble::SlowServer && self.in_trouble() && server == 0;
+    fn slow_factor(&self, server: usize) -> Millis {
+        let slow = self.fault == Fault::SlowServer && self.is_fault_active() && server == 0;
         if slow { 10 } else { 1 }
     }
 
-    fn arrives(&mut self, request: Request) {
+    fn handle_arrival(&mut self, request: Request) {
         self.outcome.requests += 1;
         let mut tried: Vec<Name> = Vec::new();
         for _ in 0..3 {
@@ -231,21 +239,21 @@
             router.record_sent(&name, 0, 0);
             if self.refuses(server) {
                 self.routers[request.daemon].record_ended(self.now, &name, 0, false);
-                self.outcome.sent_again += 1;
+                self.outcome.retries += 1;
                 tried.push(name);
                 continue;
             }
             self.engines[server].queue.push_back(request);
-            self.start(server);
+            self.start_queued(server);
             return;
         }
-        self.outcome.lost += 1;
+        self.outcome.unserved += 1;
     }
 
     fn choose(&mut self, request: &Request, tried: &[Name]) -> Option<usize> {
-        match self.rule {
-            Rule::Design => {
-                let wanted = RoutingRequest {
+        match self.policy {
+            RoutingPolicy::Design => {
+                let routing_request = RoutingRequest {
                     pool: "m",
                     prefix: request.prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                     prompt_tokens: 0,
@@ -254,14 +262,15 @@
                     tried,
                     homes: Homes::default(),
                 };
-                let choice = self.routers[request.daemon].choose(self.now, &wanted).ok()?;
+                let choice =
+                    self.routers[request.daemon].choose(self.now, &routing_request).ok()?;
                 choice.server.as_str().strip_prefix("server-")?.parse().ok()
             }
-            Rule::RoundRobin => {
-                self.in_turn += 1;
-                Some(self.in_turn % self.engines.len())
+            RoutingPolicy::RoundRobin => {
+                self.round_robin_next += 1;
+                Some(self.round_robin_next % self.engines.len())
             }
-            Rule::LeastReported => {
+            RoutingPolicy::LeastReported => {
                 let named = |n: &usize| Name::from(format!("server-{n}"));
                 let untried = (0..self.engines.len()).filter(|n| !tried.contains(&named(n)));
                 untried.min_by_key(|n| self.reported[*n])
@@ -269,10 +278,10 @@
         }
     }
 
-    fn start(&mut self, server: usize) {
-        let slowness = self.slowness(server);
+    fn start_queued(&mut self, server: usize) {
+        let slow_factor = self.slow_factor(server);
         let engine = &mut self.engines[server];
-        while engine.running < SLOTS {
+        while engine.running < SLOTS_PER_SERVER {
             let Some(request) = engine.queue.pop_front() else { return };
             engine.running += 1;
             engine.served += 1;
@@ -282,25 +291,26 @@
                 self.hits += 1;
             }
             engine.cache.push_back(request.prefix);
-            if engine.cache.len() > CACHED_PREFIXES {
+            if engine.cache.len() > CACHED_PREFIXES_PER_SERVER {
                 engine.cache.pop_front();
             }
-            let reading = if cached.is_some() { WARM_MS } else { COLD_MS } * slowness;
-            let first = self.now + reading - request.arrived;
+            let prefill_ms = if cached.is_some() { CACHED_PREFILL_MS } else { UNCACHED_PREFILL_MS }
+                * slow_factor;
+            let first = self.now + prefill_ms - request.arrived_at;
             self.outcome.first_token.saturating_record(first.max(1));
-            let end = self.now + reading + request.tokens * STEP_MS * slowness;
-            self.schedule.at(end, Happening::Ends { server, request });
+            let end = self.now + prefill_ms + request.tokens * TOKEN_MS * slow_factor;
+            self.schedule.at(end, SimulationEvent::RequestEnded { server, request });
         }
     }
 
-    fn ends(&mut self, server: usize, request: Request) {
+    fn finish_request(&mut self, server: usize, request: Request) {
         self.engines[server].running -= 1;
         let name = Name::from(format!("server-{server}"));
         self.routers[request.daemon].record_ended(self.now, &name, 0, true);
-        self.start(server);
+        self.start_queued(server);
     }
 
-    fn report(&mut self) {
+    fn report_load(&mut self) {
         for (n, engine) in self.engines.iter().enumerate() {
             let (running, waiting) = (engine.running as u32, engine.queue.len() as u32);
             self.reported[n] = running + waiting;
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -8,7 +8,7 @@
 struct Entry<T> {
     at: Millis,
     order: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -45,13 +45,13 @@
 
 impl<T> Schedule<T> {
     /// Lets `what` happen at this time.
-    pub fn at(&mut self, at: Millis, what: T) {
+    pub fn at(&mut self, at: Millis, event: T) {
         self.order += 1;
-        self.entries.push(Reverse(Entry { at, order: self.order, what }));
+        self.entries.push(Reverse(Entry { at, order: self.order, event }));
     }
 
     /// Takes what happens next.
     pub fn take_next(&mut self) -> Option<(Millis, T)> {
-        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.what))
+        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
