--- a/crates/bench/src/hint_simulation.rs
+++ b/crates/bench/src/hint_simulation.rs
@@ -1,5 +1,10 @@
-//! A fleet before servers that leave, and that ask for rest: the product's own router on each
-//! daemon, between links with delays, cuts, frozen and restarted daemons.
+//! Simulation of a fleet of daemons that sends requests to servers which leave and ask for rest.
+//!
+//! Each daemon has the router of the real daemon. Links have delays, and faults partition,
+//! suspend, restart, add and remove daemons.
+//!
+//! `setup` describes a run and its outcome, `gossip` exchanges the servers' signals between
+//! daemons, and `check` counts requests that arrived in spite of them.
 
 mod check;
 mod gossip;
@@ -22,15 +27,17 @@
 use crate::limit_simulation::FaultKind;
 use crate::schedule::Schedule;
 
+/// Time between two heartbeats of a daemon, in milliseconds.
 const HEARTBEAT_MS: Millis = 500;
-/// Servers that one request is sent to at the most.
+/// Maximum number of servers that one attempt of a request is sent to.
 const MAX_TRIES: usize = 2;
-/// Callers a second that one daemon tells to come back for each server that rests.
+/// Retries per second that one daemon schedules for each resting server.
 const RETRIES_PER_S: f64 = 20.0;
-/// A caller comes back after no longer than this, and so many times.
+/// Longest retry delay that a caller accepts, in milliseconds.
 const MAX_RETRY_DELAY_MS: Millis = 4_000;
+/// Maximum number of retries of a caller.
 const MAX_RETRIES: u32 = 2;
-/// When a caller comes back that no server took.
+/// Retry delay of a caller when no server accepted the request, in milliseconds.
 const NO_SERVER_RETRY_MS: Millis = 150;
 
 /// A request of a caller.
@@ -38,40 +45,62 @@
 struct CallerRequest {
     daemon: usize,
     prefix: u64,
+    /// Time of the caller's first attempt.
     first_at: Millis,
+    /// Time of this attempt.
     arrived_at: Millis,
+    /// Number of earlier attempts of the caller.
     retries: u32,
+    /// Servers tried in this attempt.
     tried: Vec<Name>,
 }
 
-/// An answer's head.
+/// Head of a server's response.
 #[derive(Debug, Clone, Copy)]
 struct ResponseHead {
+    /// Whether the server ran the request.
     ran: bool,
+    /// Whether it announces that it is leaving.
     is_leaving: bool,
+    /// Time for which it asks for rest, in milliseconds.
     rest_ms: Option<Millis>,
 }
 
+/// An event. Daemons and servers are given by index, and a server's start by its time.
 #[derive(Debug)]
 enum Event {
+    /// A caller starts a new request.
     NewRequest,
+    /// A server changes its behavior.
     Action(usize, Action),
+    /// A request reaches a daemon.
     Request(CallerRequest),
+    /// A request reaches a server.
     ServerRequest { req: CallerRequest, choice: Choice, server: usize },
+    /// A request ends at a server.
     RequestEnd { server: usize, start: Millis },
+    /// A server's response reaches a daemon.
     Response { req: CallerRequest, choice: Choice, head: ResponseHead },
+    /// Leaving servers announced by a peer reach a daemon.
     Leaving { to: usize, facts: Vec<LeavingFact> },
+    /// A rest period announced by a peer reaches a daemon.
     Rest { to: usize, server: ServerStart, left_ms: Millis },
+    /// A daemon sends heartbeats.
     Heartbeat { daemon: usize },
+    /// A daemon starts without any state.
     DaemonStart { daemon: usize },
 }
 
+/// State of a server.
 #[derive(Debug, Clone, Copy)]
 struct Server {
+    /// Time of its current start.
     start: Millis,
     running: usize,
     is_leaving: bool,
+    /// It rejects all requests and asks for this rest.
     shed_rest_ms: Option<Millis>,
+    /// Rest that it asks for when all slots are in use.
     full_rest_ms: Option<Millis>,
 }
 
@@ -79,11 +108,11 @@
 struct Daemon {
     router: Router,
     retry_schedule: RetrySchedule,
-    /// When it may ask a peer for all that it knows again.
+    /// Time from which it may pull the facts of a peer again.
     next_pull_at: Millis,
 }
 
-/// The simulated fleet.
+/// State of a run.
 pub struct Simulation {
     setup: Setup,
     rng: StdRng,
@@ -97,7 +126,7 @@
 }
 
 impl Simulation {
-    /// Plays a run.
+    /// Runs the simulation.
     pub fn run(setup: Setup) -> Outcome {
         let mut simulation = Simulation::new(setup);
         simulation.schedule_initial_events();
@@ -118,7 +147,8 @@
                    "address": format!("10.0.0.1:{n}"), "kind": "model", "models": ["m"]})
         };
         let rows: Vec<_> = (0..setup.servers).map(row).collect();
-        let mut table: Table = serde_json::from_value(json!({"servers": rows})).expect("a table");
+        let mut table: Table =
+            serde_json::from_value(json!({"servers": rows})).expect("valid table");
         table.servers.iter_mut().for_each(|row| row.listed.started_ms = 1);
         let mut daemon = Daemon::default();
         daemon.router.adopt(&table);
@@ -146,7 +176,7 @@
                 served: 0,
                 rejected: 0,
                 refused: 0,
-                delay: Histogram::new(3).expect("three digits are allowed"),
+                delay: Histogram::new(3).expect("3 significant digits are supported"),
                 propagation_ms: None,
                 bytes: 0,
             },
@@ -172,17 +202,19 @@
         self.schedule_next_caller();
     }
 
+    /// Schedules the next caller's request after an exponentially distributed gap.
     fn schedule_next_caller(&mut self) {
         let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
         let gap = (-uniform.ln() / self.setup.per_second * 1_000.0).round() as Millis;
         self.events.at(self.now + gap, Event::NewRequest);
     }
 
+    /// Draws the delay of one message, in milliseconds.
     fn delay(&mut self) -> Millis {
         self.rng.random_range(1..15)
     }
 
-    /// The daemon that has to handle an event, if any.
+    /// Returns the daemon that handles an event, if any.
     fn receiver(event: &Event) -> Option<usize> {
         match event {
             Event::Request(req) | Event::Response { req, .. } => Some(req.daemon),
@@ -192,6 +224,8 @@
         }
     }
 
+    /// Handles an event. Events of a suspended daemon wait until it resumes, and those of a daemon
+    /// that is down are lost, except that its heartbeats continue.
     fn handle(&mut self, event: Event) {
         if let Some(daemon) = Self::receiver(&event) {
             if let Some(at) = self.setup.faults.resumes_at(daemon, self.now) {
@@ -278,6 +312,7 @@
         }
     }
 
+    /// Sends a request to the server that the daemon's router chooses, or waits or refuses it.
     fn route(&mut self, req: CallerRequest) {
         let now = self.now;
         let seed = self.rng.random();
@@ -321,6 +356,8 @@
         self.events.at(at, Event::ServerRequest { req, choice, server });
     }
 
+    /// Runs a request on a server, or rejects it if the server sheds load, is full or has
+    /// restarted.
     fn handle_server_request(&mut self, req: CallerRequest, choice: Choice, server: usize) {
         let now = self.now;
         let state = &mut self.servers[server];
@@ -352,6 +389,8 @@
         self.events.at(at, Event::Response { req, choice, head });
     }
 
+    /// Records the signals of a response. A rejected request is tried at another server, or
+    /// refused.
     fn handle_response(&mut self, req: CallerRequest, choice: &Choice, head: ResponseHead) {
         let now = self.now;
         self.daemons[req.daemon].router.record_ended(now, &choice.server, choice.started_ms, true);
@@ -366,6 +405,7 @@
         self.refuse(req, NO_SERVER_RETRY_MS);
     }
 
+    /// Refuses a request; its caller retries after `after` milliseconds, or gives up.
     fn refuse(&mut self, req: CallerRequest, after: Millis) {
         self.outcome.refused += 1;
         if req.retries >= MAX_RETRIES || after > MAX_RETRY_DELAY_MS {
--- a/crates/bench/src/hint_simulation/check.rs
+++ b/crates/bench/src/hint_simulation/check.rs
@@ -1,4 +1,5 @@
-//! Counts what reached servers against what they had said.
+//! Counts requests that reached servers although they had announced that they are leaving or
+//! asked for rest.
 
 use std::collections::HashMap;
 
@@ -8,22 +9,26 @@
 use super::{Outcome, Setup};
 use crate::limit_simulation::FaultKind;
 
-/// A word binds from so long after it.
+/// Time after a signal from which it binds the daemon, in milliseconds.
 const GRACE_MS: Millis = 500;
 
-/// A daemon, a server and its start.
+/// Daemon, server and time of the server's start.
 type ArrivalKey = (usize, usize, Millis);
 
-/// What happened between daemons and servers.
+/// Requests and signals between daemons and servers.
 #[derive(Debug, Default)]
 pub(super) struct Check {
     arrivals: HashMap<ArrivalKey, Vec<Millis>>,
+    /// Requested rests with their time and length.
     rests: Vec<(ArrivalKey, Millis, Millis)>,
-    leaving_read_at: HashMap<(usize, ServerStart), Millis>,
-    first_read_at: HashMap<ServerStart, Millis>,
+    /// Time at which each daemon received the announcement of each leaving start.
+    leaving_received_at: HashMap<(usize, ServerStart), Millis>,
+    /// Time at which the first daemon received it.
+    first_received_at: HashMap<ServerStart, Millis>,
 }
 
 impl Check {
+    /// Records that a request of the daemon reached the server.
     pub(super) fn record_arrival(
         &mut self,
         daemon: usize,
@@ -34,6 +39,7 @@
         self.arrivals.entry((daemon, server, start)).or_default().push(now);
     }
 
+    /// Records that the server asked the daemon for rest.
     pub(super) fn record_rest(
         &mut self,
         daemon: usize,
@@ -45,18 +51,21 @@
         self.rests.push(((daemon, server, start), now, rest_ms));
     }
 
+    /// Records that the daemon received the announcement that this start is leaving.
     pub(super) fn record_leaving(&mut self, daemon: usize, start: &ServerStart, now: Millis) {
-        self.leaving_read_at.entry((daemon, start.clone())).or_insert(now);
-        self.first_read_at.entry(start.clone()).or_insert(now);
+        self.leaving_received_at.entry((daemon, start.clone())).or_insert(now);
+        self.first_received_at.entry(start.clone()).or_insert(now);
     }
 
-    /// When any daemon read first that this start leaves.
+    /// Returns when the first daemon received the announcement that this start is leaving.
     pub(super) fn first_announcement(&self, start: &ServerStart) -> Option<Millis> {
-        self.first_read_at.get(start).copied()
+        self.first_received_at.get(start).copied()
     }
 
+    /// Computes the counts of the outcome.
     pub(super) fn finish(&self, outcome: &mut Outcome, setup: &Setup) {
-        // A restart forgets, and a frozen daemon sends late what it had chosen before.
+        // A restarted daemon has lost the signals, and a suspended one sends requests late that
+        // it had routed before.
         let is_exempt = |daemon: usize, from: Millis, until: Millis| {
             setup.faults.0.iter().any(|fault| {
                 fault.kind != FaultKind::Partition
@@ -65,12 +74,14 @@
                     && fault.until + GRACE_MS >= from
             })
         };
-        for ((daemon, start), read_at) in &self.leaving_read_at {
+        for ((daemon, start), received_at) in &self.leaving_received_at {
             let number = start.name.as_str()[1..].parse().unwrap_or_default();
             let key = (*daemon, number, start.started_ms);
             let arrivals = self.arrivals.get(&key).into_iter().flatten();
             outcome.late_requests += arrivals
-                .filter(|at| **at > read_at + GRACE_MS && !is_exempt(*daemon, *read_at, **at))
+                .filter(|at| {
+                    **at > received_at + GRACE_MS && !is_exempt(*daemon, *received_at, **at)
+                })
                 .count();
         }
         for (key, at, rest_ms) in &self.rests {
--- a/crates/bench/src/hint_simulation/gossip.rs
+++ b/crates/bench/src/hint_simulation/gossip.rs
@@ -1,4 +1,4 @@
-//! What daemons read in answers, and tell each other.
+//! Signals in responses, and their exchange between daemons.
 
 use bankcove_core::Millis;
 use bankcove_core::hints::LeavingFact;
@@ -7,15 +7,22 @@
 
 use super::{Event, HEARTBEAT_MS, ResponseHead, RestHandling, Simulation};
 
+/// Peers that one heartbeat is sent to.
 const HEARTBEAT_FANOUT: usize = 2;
+/// Peers that a new signal is sent to.
 const FANOUT: usize = 10;
+/// Time for which signals are collected before they are sent, in milliseconds.
 const BATCH_DELAY_MS: Millis = 20;
+/// Shortest time between two pulls of a daemon, in milliseconds.
 const PULL_INTERVAL_MS: Millis = 1_000;
+/// Maximum number of facts in one pull.
 const MAX_PULLED: usize = 512;
-/// Bytes of a word on the wire: a name of some 12 bytes, a start, an age and their lengths.
+/// Size of an encoded signal in bytes: a name of about 12 bytes, a start time, an age and their
+/// lengths.
 const FACT_BYTES: u64 = 40;
 
 impl Simulation {
+    /// Records the signals of a response, and sends new ones to peers.
     pub(super) fn observe(&mut self, daemon: usize, choice: &Choice, head: ResponseHead) {
         let (now, start) = (self.now, choice.start());
         if head.is_leaving {
@@ -41,6 +48,7 @@
         }
     }
 
+    /// Draws up to `most` random peers, and returns those that can be reached.
     fn peers(&mut self, from: usize, most: usize) -> Vec<usize> {
         let count = most.min(self.daemons.len() - 1);
         let drawn: Vec<usize> =
@@ -49,6 +57,7 @@
         drawn.into_iter().filter(reached).collect()
     }
 
+    /// Sends leaving servers to random peers.
     fn announce_leaving(&mut self, from: usize, facts: Vec<LeavingFact>) {
         for to in self.peers(from, FANOUT) {
             self.outcome.bytes += FACT_BYTES * facts.len() as u64;
@@ -60,6 +69,7 @@
         }
     }
 
+    /// Merges leaving servers sent by a peer, and sends the new ones on.
     pub(super) fn receive_leaving(&mut self, to: usize, facts: &[LeavingFact]) {
         let new = self.daemons[to].router.merge_leaving(self.now, facts);
         for fact in &new {
@@ -70,7 +80,7 @@
         }
     }
 
-    /// Notes how long it took until all daemons that are up knew of the first word.
+    /// Records the time from the first announcement of a leaving server until all daemons know it.
     fn record_propagation(&mut self, server: &bankcove_core::crashes::ServerStart) {
         let Some(at) = self.check.first_announcement(server) else { return };
         let knows = |daemon: &super::Daemon| daemon.router.check_open(self.now, server).is_err();
@@ -81,6 +91,7 @@
         }
     }
 
+    /// Compares digests with random peers; daemons whose digests differ pull each other's facts.
     pub(super) fn heartbeat(&mut self, daemon: usize) {
         self.events.at(self.now + HEARTBEAT_MS, Event::Heartbeat { daemon });
         self.daemons[daemon].router.expire_closed(self.now);
@@ -95,6 +106,7 @@
         }
     }
 
+    /// Merges the facts of a peer, unless the puller has pulled facts recently.
     fn pull_facts(&mut self, puller: usize, peer: usize) {
         if self.now < self.daemons[puller].next_pull_at {
             return;
--- a/crates/bench/src/hint_simulation/setup.rs
+++ b/crates/bench/src/hint_simulation/setup.rs
@@ -1,81 +1,82 @@
-//! What is played, and what came of it.
+//! Parameters and outcome of a run.
 
 use bankcove_core::Millis;
 use hdrhistogram::Histogram;
 
 use crate::limit_simulation::Faults;
 
-/// Who keeps to a rest.
+/// Which daemons send nothing to a server in a rest period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestHandling {
-    /// Nobody.
+    /// None: rest periods are ignored.
     Ignored,
-    /// The daemon that was asked for it.
+    /// The daemon that the server asked.
     Kept,
-    /// All daemons: the one that was asked tells the others.
+    /// All daemons: the one that the server asked notifies the others.
     Told,
 }
 
-/// What a server does from a moment on.
+/// Change of a server's behavior.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Action {
-    /// Its answers say that it leaves.
+    /// Its responses announce that it is leaving.
     Leave,
-    /// It turns everything away and asks for so much rest.
+    /// It rejects all requests and asks for this rest, in milliseconds.
     Shed(Millis),
-    /// It turns away what goes beyond its slots, and asks for so much rest then.
+    /// It rejects only requests beyond its slots, and asks for this rest then, in milliseconds.
     Serve(Option<Millis>),
-    /// Another start of it is listed, and serves.
+    /// It restarts; the new start is listed and serves.
     Restart,
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Daemons of the fleet.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Servers, and requests that each runs at once.
+    /// Number of servers.
     pub servers: usize,
-    /// Requests that a server runs at once.
+    /// Number of requests that a server runs at once.
     pub slots: usize,
-    /// Shortest and longest time of a run.
+    /// Shortest and longest time that a server takes for a request, in milliseconds.
     pub run_ms: (Millis, Millis),
-    /// What a server does, and from when on.
+    /// Changes of the servers' behavior, with their time and the index of the server.
     pub actions: Vec<(Millis, usize, Action)>,
-    /// Requests a second of all callers.
+    /// Requests per second of all callers together.
     pub per_second: f64,
-    /// Length of the run.
+    /// Length of the run, in milliseconds.
     pub length_ms: Millis,
-    /// Who keeps to rests.
+    /// Which daemons observe rest periods.
     pub rest_handling: RestHandling,
-    /// How long a request waits for a rest to end.
+    /// Longest time that a request waits for a rest period to end, in milliseconds.
     pub max_wait_ms: Millis,
-    /// What befalls the daemons.
+    /// Faults of the daemons.
     pub faults: Faults,
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Requests that reached a server from a daemon over half a second after that daemon had
-    /// read that it leaves.
+    /// Number of requests that reached a server more than half a second after their daemon had
+    /// received the announcement that it is leaving.
     pub late_requests: usize,
-    /// Most requests of one daemon within one rest that it was asked for.
+    /// Largest number of requests of one daemon within one rest period that it was asked for.
     pub max_in_rest: usize,
-    /// Requests of callers, and those that were served.
+    /// Number of callers' requests, without their retries.
     pub requests: usize,
-    /// Requests that a server ran.
+    /// Number of requests that a server ran.
     pub served: usize,
-    /// Requests that a server turned away.
+    /// Number of requests that a server rejected.
     pub rejected: usize,
-    /// Refusals to callers, who may have come back.
+    /// Number of refusals to callers, who may have retried.
     pub refused: usize,
-    /// From a caller's first request to the answer, in milliseconds.
+    /// Time from a caller's first attempt to the response, in milliseconds.
     pub delay: Histogram<u64>,
-    /// From the first word that a server leaves until all daemons know, the longest.
+    /// Longest time from the first announcement that a server is leaving until all daemons know
+    /// it, in milliseconds.
     pub propagation_ms: Option<Millis>,
-    /// Bytes of words between daemons.
+    /// Bytes of signals sent between daemons.
     pub bytes: u64,
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,7 @@
-//! Drivers that run the decisions of `bankcove-core` in simulated time, in one
-//! process and from a seed, to measure them. The decisions are the daemon's
-//! own code; only the links and the store are counted instead of used.
+//! Discrete-event simulations that measure the decisions of `bankcove-core`.
+//!
+//! Each runs in one process, in simulated time and from a seed. The decision code is the daemon's
+//! own; network links and the store are simulated, and their use is counted.
 
 pub mod budget_load;
 pub mod budget_policy;
--- a/crates/bench/src/limit_simulation.rs
+++ b/crates/bench/src/limit_simulation.rs
@@ -1,5 +1,11 @@
-//! A fleet before servers that name limits: the product's own book, issuer, leases and times to
-//! come back, between links with delays, cuts, frozen and restarted daemons, and joins.
+//! Simulation of a fleet of daemons that sends requests to servers with announced limits.
+//!
+//! Limit trackers, issuers, leases and retry schedules are the daemon's own code. Links have
+//! delays, and faults partition, suspend, restart, add and remove daemons.
+//!
+//! `setup` describes a run and its outcome, `fault` the faults, `fleet` the daemons and their
+//! membership, `event` the events. `gossip` exchanges limits between daemons, `permits` requests
+//! permits, and `window` counts the requests of a server per time window.
 
 mod event;
 mod fault;
@@ -27,33 +33,40 @@
 use crate::limit_simulation::window::GRACE_MS;
 use crate::schedule::Schedule;
 
+/// Time between two heartbeats of a daemon, in milliseconds.
 const HEARTBEAT_MS: Millis = 500;
+/// Retry delay when no issuer responded or the daemon must not use the server, in milliseconds.
 const NO_ISSUER_RETRY_MS: Millis = 200;
+/// Permit requests for one caller's request before it is refused.
 const MAX_PERMIT_REQUESTS: usize = 3;
-/// Answers of peers count for the rule from so long after the first of a host.
+/// Time after a host's first response with a limit from which its requests count, in
+/// milliseconds.
 const GOSSIP_MS: Millis = 500;
 
-/// The simulated fleet.
+/// State of a run.
 pub struct Simulation {
     setup: Setup,
     rng: StdRng,
     now: Millis,
     events: Schedule<Event>,
-    /// Numbers the asks for permits.
+    /// ID of the next permit request.
     next_call_id: u64,
     daemons: Vec<Daemon>,
     fleet: Fleet,
     starts: Vec<ServerStart>,
+    /// Index in `starts` of each server.
     index: HashMap<ServerStart, usize>,
+    /// Requests that wait for a permit, by the ID of the permit request.
     waiting_requests: HashMap<u64, CallerRequest>,
-    /// When a host had passed on an answer that named the server's limit first.
+    /// Time of a daemon's first response with a limit, by daemon and server.
     first_response_at: HashMap<(usize, usize), Millis>,
+    /// Time of the first response with a limit, by server.
     announced_at: Vec<Option<Millis>>,
     outcome: Outcome,
 }
 
 impl Simulation {
-    /// Plays a run.
+    /// Runs the simulation.
     pub fn run(setup: Setup) -> Outcome {
         let mut simulation = Simulation::new(setup);
         simulation.schedule_initial_events();
@@ -89,7 +102,7 @@
                 served: 0,
                 requests: 0,
                 refused: 0,
-                delay: Histogram::new(3).expect("three digits are allowed"),
+                delay: Histogram::new(3).expect("3 significant digits are supported"),
                 bytes: 0,
                 permit_requests: 0,
                 propagation_ms: None,
@@ -118,6 +131,7 @@
         self.events.at(at, event);
     }
 
+    /// Schedules the next caller's request after an exponentially distributed gap.
     fn schedule_next_caller(&mut self) {
         let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
         let gap = (-uniform.ln() / self.setup.per_second * 1_000.0).round() as Millis;
@@ -134,7 +148,7 @@
         self.push(self.now, Event::Request(req));
     }
 
-    /// The daemon that has to handle an event, if any.
+    /// Returns the daemon that handles an event, if any.
     fn receiver(&self, event: &Event) -> Option<usize> {
         match event {
             Event::Request(req) | Event::Retry(req) => Some(req.daemon),
@@ -147,6 +161,8 @@
         }
     }
 
+    /// Handles an event. Events of a suspended daemon wait until it resumes, and those of a daemon
+    /// that is down are lost, except that its heartbeats continue.
     fn handle(&mut self, event: Event) {
         if let Some(daemon) = self.receiver(&event) {
             if let Some(at) = self.setup.faults.resumes_at(daemon, self.now) {
@@ -204,10 +220,12 @@
         }
     }
 
+    /// Draws the delay of one message between daemons, in milliseconds.
     fn delay(&mut self) -> Millis {
         self.rng.random_range(1..15)
     }
 
+    /// Sends a request to the first server that is not skipped, or requests a permit for it.
     fn route(&mut self, mut req: CallerRequest) {
         let (count, now) = (self.starts.len(), self.now);
         let daemon = &mut self.daemons[req.daemon];
@@ -241,6 +259,8 @@
         }
     }
 
+    /// Retries when the first server is usable again, or refuses the request if the wait is too
+    /// long.
     fn wait_or_refuse(&mut self, req: CallerRequest) {
         let daemon = &self.daemons[req.daemon];
         let first = daemon.skipped_until.iter().min().copied().unwrap_or_default();
@@ -254,6 +274,7 @@
         self.refuse(req, first - self.now);
     }
 
+    /// Refuses a request; its caller retries after the delay of the retry schedule, or gives up.
     fn refuse(&mut self, req: CallerRequest, first_ms: Millis) {
         let daemon = &mut self.daemons[req.daemon];
         let limits = self.starts.iter().filter_map(|start| daemon.limits.limit(start));
@@ -262,7 +283,7 @@
         let service = Name::from("pool");
         let seed = self.rng.random();
         let after = daemon.retry_schedule.next_delay(self.now, &service, first_ms, share, seed);
-        // Callers wait for a third of their time, here of 12 s, and come to any daemon.
+        // Callers wait at most a third of their deadline of 12 s, and retry at any daemon.
         if req.retries >= 2 || after > 4_000 {
             self.outcome.refused += 1;
             return;
@@ -282,6 +303,8 @@
         );
     }
 
+    /// Sends a request to a server and counts it against the limit, if the limit binds the daemon
+    /// and no recent fault exempts it.
     fn send(&mut self, req: &CallerRequest, server: usize) {
         let (now, daemon) = (self.now, req.daemon);
         self.outcome.served += 1;
--- a/crates/bench/src/limit_simulation/fault.rs
+++ b/crates/bench/src/limit_simulation/fault.rs
@@ -1,30 +1,30 @@
-//! What befalls the daemons of a simulated fleet.
+//! Faults of the daemons in a simulated fleet.
 
 use bankcove_core::Millis;
 
-/// A trouble of some daemons.
+/// A fault of some daemons.
 #[derive(Debug, Clone)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The daemons.
+    /// Affected daemons, by index.
     pub daemons: Vec<usize>,
-    /// When it begins.
+    /// Start time.
     pub from: Millis,
-    /// When it ends.
+    /// End time.
     pub until: Millis,
 }
 
-/// Kinds of trouble.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// They reach servers and each other, but no other daemon.
+    /// The daemons reach servers and each other, but no other daemon.
     Partition,
-    /// Their processes stand still, and go on with what came meanwhile.
+    /// The processes are suspended, and handle the pending events on resume.
     Suspended,
-    /// Their processes end, and start anew without any state.
+    /// The processes are down, and start without any state at the end.
     Restart,
-    /// They are no part of the fleet meanwhile: a join at the end, a leave at the beginning.
+    /// The daemons are not part of the fleet: they leave at the start and join at the end.
     Absent,
 }
 
@@ -34,32 +34,32 @@
     }
 }
 
-/// All troubles of a run.
+/// All faults of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Whether the daemon has a trouble of these kinds now.
+    /// Whether a fault of one of these kinds affects the daemon now.
     pub fn is_affected(&self, daemon: usize, kinds: &[FaultKind], now: Millis) -> bool {
         self.0.iter().any(|fault| kinds.contains(&fault.kind) && fault.is_on(daemon, now))
     }
 
-    /// Whether the daemon had a trouble that excuses it, in the last `span` milliseconds.
+    /// Whether any fault affects the daemon now or ended in the last `span` milliseconds.
     pub fn was_recently_affected(&self, daemon: usize, now: Millis, span: Millis) -> bool {
         self.0.iter().any(|fault| {
             fault.daemons.contains(&daemon) && fault.from <= now && now < fault.until + span
         })
     }
 
-    /// Whether one daemon reaches another.
+    /// Whether a message from one daemon reaches another. A suspended daemon receives it on resume.
     pub fn can_reach(&self, from: usize, to: usize, now: Millis) -> bool {
         let cuts = self.0.iter().filter(|fault| fault.kind == FaultKind::Partition);
-        let parts = |fault: &Fault| fault.is_on(from, now) != fault.is_on(to, now);
-        !cuts.into_iter().any(parts)
+        let separates = |fault: &Fault| fault.is_on(from, now) != fault.is_on(to, now);
+        !cuts.into_iter().any(separates)
             && !self.is_affected(to, &[FaultKind::Restart, FaultKind::Absent], now)
     }
 
-    /// When a frozen daemon goes on.
+    /// Returns when the daemon resumes, if it is suspended.
     pub fn resumes_at(&self, daemon: usize, now: Millis) -> Option<Millis> {
         let frozen = self.0.iter().filter(|fault| fault.kind == FaultKind::Suspended);
         frozen.filter(|fault| fault.is_on(daemon, now)).map(|fault| fault.until).max()
--- a/crates/bench/src/limit_simulation/fleet.rs
+++ b/crates/bench/src/limit_simulation/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons of a simulated fleet, and what each of them knows of the others.
+//! Daemons of a simulated fleet, and the membership as each of them sees it.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 
 use super::fault::{FaultKind, Faults};
 
-/// Longest time until a daemon knows of one that joined or left.
+/// Maximum time until a daemon learns that another joined or left, in milliseconds.
 const MAX_MEMBERSHIP_LAG_MS: Millis = 2_000;
 
 /// One daemon.
@@ -23,16 +23,18 @@
     pub issuer: Issuer,
     pub leases: Leases,
     pub retry_schedule: RetrySchedule,
-    /// Servers that get nothing until then.
+    /// Time until which each server is skipped.
     pub skipped_until: Vec<Millis>,
-    /// Issuers that did not answer, until then.
+    /// Time until which issuers that timed out are skipped.
     pub unresponsive_until: HashMap<usize, Millis>,
-    /// For fleets without issuers: what is saved up for each server, and since when.
+    /// Without issuers: unused requests of the daemon's own share of each limit, and the time of
+    /// the last update.
     pub own_share: Vec<(f64, Millis)>,
     pub started_at: Millis,
 }
 
 impl Daemon {
+    /// Creates a daemon without state.
     pub fn new(servers: usize, started_at: Millis) -> Self {
         Daemon {
             skipped_until: vec![0; servers],
@@ -42,21 +44,25 @@
         }
     }
 
+    /// Returns the time until which this issuer is skipped; 0 if it has not timed out.
     pub fn unresponsive_until(&self, peer: usize) -> Millis {
         self.unresponsive_until.get(&peer).copied().unwrap_or_default()
     }
 }
 
-/// Who is in the fleet, as each daemon sees it.
+/// Membership of the fleet, as each daemon sees it after its lag.
 #[derive(Debug)]
 pub struct Fleet {
+    /// Rendezvous hashing key of each daemon.
     keys: Vec<u64>,
-    /// A daemon is away from the first of these to the second.
+    /// Start and end of each absence, by daemon.
     absences: Vec<Vec<(Millis, Millis)>>,
+    /// Time after which each daemon learns of joins and leaves, in milliseconds.
     membership_lags: Vec<Millis>,
 }
 
 impl Fleet {
+    /// Draws the keys and lags of the daemons; the absences are those in `faults`.
     pub fn new(seed: u64, daemons: usize, faults: &Faults) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ 1);
         let mut absences = vec![Vec::new(); daemons];
@@ -74,16 +80,17 @@
         }
     }
 
+    /// Whether the daemon `at` considers `daemon` a member.
     fn is_listed(&self, at: usize, daemon: usize, now: Millis) -> bool {
         let seen = now.saturating_sub(self.membership_lags[at]);
         let is_absent = |(from, until): &(Millis, Millis)| {
-            // Before the run began nobody has heard of what joins later.
+            // An absence from the start of the run is known to all daemons without a lag.
             (*from == 0 || *from <= seen) && seen < *until
         };
         at == daemon || !self.absences[daemon].iter().any(is_absent)
     }
 
-    /// Who issues permits for the server, as this daemon sees it.
+    /// Returns the ranked issuers of permits for the server, as the daemon `at` sees them.
     pub fn issuers(&self, at: usize, server: &ServerStart, now: Millis) -> Vec<usize> {
         let listed = (0..self.keys.len()).filter(|daemon| self.is_listed(at, *daemon, now));
         let mut ranked: Vec<(u64, usize)> = listed
@@ -93,7 +100,7 @@
         ranked.into_iter().take(ISSUERS_PER_SERVER).map(|(_, daemon)| daemon).collect()
     }
 
-    /// What this daemon is to the server, by its own view.
+    /// Returns the rank of the daemon `at` among the issuers of the server, as it sees them.
     pub fn position(
         &self,
         at: usize,
--- a/crates/bench/src/limit_simulation/gossip.rs
+++ b/crates/bench/src/limit_simulation/gossip.rs
@@ -1,4 +1,5 @@
-//! What answers say of limits, and how daemons tell each other.
+//! Limits in responses, and their exchange between daemons: new ones are sent to random peers,
+//! and heartbeats with differing digests exchange all of them.
 
 use bankcove_core::Millis;
 use bankcove_core::limits::{LimitFact, LimitHeader};
@@ -7,13 +8,17 @@
 use super::event::Event;
 use super::{Enforcement, HEARTBEAT_MS, Simulation};
 
+/// Peers that one heartbeat is sent to.
 const HEARTBEAT_FANOUT: usize = 2;
+/// Peers that a changed limit is sent to.
 const FANOUT: usize = 10;
+/// Time for which facts are collected before they are sent, in milliseconds.
 const BATCH_DELAY_MS: Millis = 20;
-/// Bytes of a fact (by `slopes`).
+/// Size of an encoded fact in bytes, as printed by the `slopes` benchmark.
 const FACT_BYTES: u64 = 53;
 
 impl Simulation {
+    /// Records the limit header of a server's response.
     pub(super) fn handle_response(
         &mut self,
         daemon: usize,
@@ -33,6 +38,7 @@
         }
     }
 
+    /// Uses the server again if its limit was lifted, and sends the change to peers.
     pub(super) fn apply_change(&mut self, daemon: usize, fact: LimitFact) {
         if let Some(server) = self.index.get(&fact.server).copied()
             && fact.limit.is_none()
@@ -43,6 +49,7 @@
         self.record_propagation();
     }
 
+    /// Records the time until all daemons know the limit of server 0.
     pub(super) fn record_propagation(&mut self) {
         let (Some(at), None) = (self.announced_at[0], self.outcome.propagation_ms) else { return };
         let start = &self.starts[0];
@@ -51,6 +58,7 @@
         }
     }
 
+    /// Merges facts of a peer into the limits of a daemon.
     pub(super) fn merge_facts(&mut self, daemon: usize, facts: &[LimitFact]) {
         let changes = self.daemons[daemon].limits.merge(self.now, facts);
         for change in changes {
@@ -58,6 +66,7 @@
         }
     }
 
+    /// Sends facts to random peers.
     pub(super) fn announce(&mut self, from: usize, facts: Vec<LimitFact>) {
         if self.setup.enforcement == Enforcement::None {
             return;
@@ -73,8 +82,9 @@
         }
     }
 
+    /// Merges facts that were collected for sending at `sent_at`.
     pub(super) fn receive_facts(&mut self, to: usize, mut facts: Vec<LimitFact>, sent_at: Millis) {
-        // What waits to be told gets older; what is under way does not.
+        // The ages in a fact include the time before it was sent, but not the time in transit.
         let waited = BATCH_DELAY_MS.min(self.now - sent_at);
         for fact in &mut facts {
             fact.request_age_ms += waited;
@@ -83,6 +93,7 @@
         self.merge_facts(to, &facts);
     }
 
+    /// Compares digests with random peers; daemons whose digests differ exchange all facts.
     pub(super) fn heartbeat(&mut self, daemon: usize) {
         self.push(self.now + HEARTBEAT_MS, Event::Heartbeat { daemon });
         for _ in 0..HEARTBEAT_FANOUT {
--- a/crates/bench/src/limit_simulation/permits.rs
+++ b/crates/bench/src/limit_simulation/permits.rs
@@ -1,4 +1,4 @@
-//! Asks for permits, and the ways without any.
+//! Permit requests, and enforcement by fixed shares without permits.
 
 use bankcove_core::limits::{Issued, LimitFact, PermitRequest, RequestRate};
 use bankcove_core::{Incarnation, Millis};
@@ -6,13 +6,17 @@
 use super::event::{CallerRequest, Event};
 use super::{NO_ISSUER_RETRY_MS, Simulation};
 
+/// Time to wait for a response to a permit request, in milliseconds.
 const PERMIT_TIMEOUT_MS: Millis = 100;
+/// Time for which an issuer that timed out is skipped, in milliseconds.
 const UNRESPONSIVE_MS: Millis = 1_000;
-/// Bytes of an ask with its answer (83 of bodies, by `slopes`, and what calls put around them),
-/// and of a fact (53).
+/// Size in bytes of a permit request with its response (83 for the bodies, as printed by the
+/// `slopes` benchmark, plus the framing of the calls) and of a fact (53).
 const PERMIT_CALL_BYTES: u64 = 220;
 
 impl Simulation {
+    /// Sends the request if the daemon's share of the limit (90 % of it, divided into `parts`)
+    /// allows it; otherwise tries other servers. The daemon saves up at most one request.
     pub(super) fn send_within_own_share(
         &mut self,
         req: CallerRequest,
@@ -37,12 +41,13 @@
         self.route(req);
     }
 
+    /// Requests permits from the first issuer that is not skipped.
     pub(super) fn request_permit(&mut self, req: CallerRequest, server: usize) {
         let (from, now) = (req.daemon, self.now);
         let start = self.starts[server].clone();
         let issuers = self.fleet.issuers(from, &start, now);
         let daemon = &mut self.daemons[from];
-        let fact = daemon.limits.fact(now, &start).expect("a limit is known");
+        let fact = daemon.limits.fact(now, &start).expect("the limit of the server is known");
         let permits = daemon.leases.permits_to_request(now, &start);
         let request = PermitRequest { from: Incarnation(from as u64), permits, urgency: 0 };
         if daemon.leases.is_scarce(now, &start) {
@@ -87,6 +92,7 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
+    /// Issues permits for a request of a peer, and responds.
     pub(super) fn handle_permit_request(
         &mut self,
         from: usize,
@@ -114,6 +120,8 @@
         }
     }
 
+    /// Issues permits at the daemon `at`. Returns them, whether the server has no limit there, and
+    /// the limit known there if it differs from `fact`.
     pub(super) fn issue(
         &mut self,
         at: usize,
@@ -133,6 +141,7 @@
         (daemon.issuer.issue(self.now, &start, limit, position, request), false, newer_fact)
     }
 
+    /// Adds issued permits to the leases, and sends the waiting request if it gets one.
     pub(super) fn handle_permit_response(
         &mut self,
         server: usize,
@@ -156,6 +165,7 @@
         self.send(&req, server);
     }
 
+    /// Skips the server for `retry_ms` and tries other servers.
     pub(super) fn handle_denial(&mut self, call_id: u64, server: usize, retry_ms: Millis) {
         let Some(req) = self.waiting_requests.remove(&call_id) else { return };
         let daemon = &mut self.daemons[req.daemon];
@@ -164,6 +174,7 @@
         self.route(req);
     }
 
+    /// Skips the issuer for a while, and handles the timeout as a denial.
     pub(super) fn handle_timeout(&mut self, call_id: u64, server: usize, peer: usize) {
         let Some(req) = self.waiting_requests.get(&call_id) else { return };
         self.daemons[req.daemon].unresponsive_until.insert(peer, self.now + UNRESPONSIVE_MS);
--- a/crates/bench/src/limit_simulation/setup.rs
+++ b/crates/bench/src/limit_simulation/setup.rs
@@ -1,72 +1,74 @@
-//! What is played, and what came of it.
+//! Parameters and outcome of a run.
 
 use bankcove_core::Millis;
 use hdrhistogram::Histogram;
 
 use super::fault::Faults;
 
-/// How a fleet keeps to a limit.
+/// How a fleet enforces a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Enforcement {
-    /// Nobody reads it.
+    /// The limit is ignored.
     None,
-    /// Each daemon has an equal part, of which it saves up one request.
+    /// Each daemon has an equal share, of which it saves up at most one request.
     EqualParts,
-    /// Three daemons alone use the server, with a third each.
+    /// Only three daemons use the server, with a third of the limit each.
     FewHosts,
-    /// The product: permits of an issuer.
+    /// Issuers issue permits, as in the daemon.
     Permits,
 }
 
-/// What callers do while no server has a permit for them.
+/// What happens to a request while no server can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitPolicy {
-    /// They are refused at once.
+    /// It is refused at once.
     None,
-    /// They wait this long for a permit.
+    /// It waits up to this time, in milliseconds.
     Up(Millis),
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Daemons of the fleet.
+    /// Number of daemons.
     pub daemons: usize,
-    /// What each server names: from when on, and the limit; none lifts it.
+    /// Limits that each server announces, in requests per second, with their start times; `None`
+    /// lifts the limit.
     pub servers: Vec<Vec<(Millis, Option<f64>)>>,
-    /// Requests a second of all callers.
+    /// Requests per second of all callers together.
     pub per_second: f64,
-    /// Length of the run.
+    /// Length of the run, in milliseconds.
     pub length_ms: Millis,
-    /// How the fleet keeps to limits.
+    /// How the fleet enforces limits.
     pub enforcement: Enforcement,
-    /// What callers without a permit do.
+    /// What happens to requests while no server can be used.
     pub wait_policy: WaitPolicy,
-    /// What befalls the daemons.
+    /// Faults of the daemons.
     pub faults: Faults,
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// For each server: when requests came that the rule counts.
+    /// Times of the requests that count against the limit, by server.
     pub counted_arrivals: Vec<Vec<Millis>>,
-    /// For each server: when requests came.
+    /// Times of all requests, by server.
     pub arrivals: Vec<Vec<Millis>>,
-    /// Requests that a server took, of how many.
+    /// Number of requests sent to a server.
     pub served: usize,
-    /// Requests of callers.
+    /// Number of callers' requests, without their retries.
     pub requests: usize,
-    /// Requests that were refused at the last.
+    /// Number of requests that were refused and not retried.
     pub refused: usize,
-    /// From a caller's first request to a server, in milliseconds.
+    /// Time from a caller's first attempt until its request is sent to a server, in milliseconds.
     pub delay: Histogram<u64>,
-    /// Bytes between daemons for limits.
+    /// Bytes sent between daemons for limits and permits.
     pub bytes: u64,
-    /// Calls of issuers.
+    /// Number of permit requests sent to other daemons.
     pub permit_requests: u64,
-    /// When the last daemon knew of the first limit, in milliseconds after its first word.
+    /// Time from the first response with the limit of server 0 until all daemons know it, in
+    /// milliseconds.
     pub propagation_ms: Option<Millis>,
 }
--- a/crates/bench/src/limit_simulation/window.rs
+++ b/crates/bench/src/limit_simulation/window.rs
@@ -1,25 +1,26 @@
-//! What a server got, counted as its owner counts it.
+//! Check of a server's limit by counting its requests in time windows, as the owner of the
+//! server counts them.
 
 use bankcove_core::Millis;
 
-/// Hosts are bound from so long after the limit was named first, in milliseconds.
+/// Time after the first announcement of a limit from which it binds all hosts, in milliseconds.
 pub const GRACE_MS: Millis = 3_000;
 
-/// Any span of this length is counted, in milliseconds.
+/// Length of the windows, in milliseconds; a window may start at any time.
 pub const WINDOW_MS: Millis = 4_000;
 
-/// What a server may get in a window, over its limit.
+/// Allowed requests in a window, as a multiple of the limit.
 const ALLOWED_FACTOR: f64 = 1.5;
 
-/// What it may get beyond that.
+/// Further allowed requests in a window.
 const ALLOWED_EXTRA: f64 = 5.0;
 
-/// Most requests that may come in a window.
+/// Returns the number of requests that are allowed in a window at this limit.
 pub fn allowed_requests(per_second: f64) -> f64 {
     per_second * (WINDOW_MS as f64 / 1_000.0) * ALLOWED_FACTOR + ALLOWED_EXTRA
 }
 
-/// Most of these times, in ascending order, that lie within a window.
+/// Returns the largest number of `times`, which are in ascending order, within one window.
 pub fn max_per_window(times: &[Millis]) -> usize {
     let mut first = 0;
     let mut worst = 0;
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Things that happen at a time, in order.
+//! Event queue ordered by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -31,7 +31,7 @@
     }
 }
 
-/// A queue of what is to happen; equal times keep their order.
+/// Queue of future events. Events of the same time keep the order in which they were added.
 pub struct Schedule<T> {
     entries: BinaryHeap<Reverse<Entry<T>>>,
     order: u64,
@@ -44,13 +44,13 @@
 }
 
 impl<T> Schedule<T> {
-    /// Lets `what` happen at this time.
+    /// Adds an event at this time.
     pub fn at(&mut self, at: Millis, event: T) {
         self.order += 1;
         self.entries.push(Reverse(Entry { at, order: self.order, event }));
     }
 
-    /// Takes what happens next.
+    /// Removes and returns the earliest event with its time.
     pub fn take_next(&mut self) -> Option<(Millis, T)> {
         self.entries.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
