--- a/crates/bench/src/budget_load.rs
+++ b/crates/bench/src/budget_load.rs
@@ -1,4 +1,4 @@
-//! Loads on budgets: who asks when, for how much, and what fails meanwhile.
+//! Workloads of the budget simulation: times and costs of requests, and failures.
 
 use bankcove_core::{Millis, Tokens};
 use rand::rngs::StdRng;
@@ -7,61 +7,61 @@
 /// One request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When it comes.
+    /// Time of its arrival.
     pub at: Millis,
-    /// The daemon that it comes to.
+    /// Daemon that receives it.
     pub daemon: usize,
-    /// The budget that pays.
+    /// Budget that it is charged to.
     pub budget: usize,
-    /// Its greatest cost.
+    /// Maximum cost in tokens, which is reserved.
     pub max_tokens: Tokens,
-    /// Its actual cost.
+    /// Actual cost in tokens.
     pub used_tokens: Tokens,
-    /// How long it runs.
+    /// Time for which it runs, in milliseconds.
     pub duration_ms: Millis,
 }
 
-/// What fails, and when.
+/// Failures and other events in a run, with their times.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Failures {
-    /// The store is away from this time to that.
+    /// Start and end of an outage of the store.
     pub store_outage: Option<(Millis, Millis)>,
-    /// Daemon 1 ends at this time, with all it holds.
+    /// Time at which daemon 1 is killed, with all tokens that it holds.
     pub daemon_killed: Option<Millis>,
-    /// The upper half of the daemons is apart from the others and from the
-    /// store, from this time to that.
+    /// Start and end of a partition of the upper half of the daemons from the others and from the
+    /// store.
     pub partition: Option<(Millis, Millis)>,
-    /// Tokens are added to each budget at this time.
+    /// Time of a top-up of each budget, and its tokens.
     pub top_up: Option<(Millis, Tokens)>,
 }
 
-/// A load.
+/// A workload.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Its name.
+    /// Name of the workload.
     pub name: &'static str,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Budgets.
+    /// Number of budgets.
     pub budgets: usize,
     /// Tokens of each budget.
     pub tokens: Tokens,
-    /// Requests a second, over all daemons.
+    /// Requests per second of all daemons together.
     pub rate: f64,
-    /// How long requests come, in milliseconds.
+    /// Time for which requests arrive, in milliseconds.
     pub length_ms: Millis,
-    /// Whether demand wanders from hall to hall.
+    /// Whether the demand shifts from hall to hall.
     pub shifting: bool,
-    /// A daemon draws at most this part of what is available at once.
+    /// A daemon draws at most 1/`share_divisor` of what is available at once.
     pub share_divisor: u64,
-    /// And at least this part of an equal share.
+    /// Fraction of an equal share that a daemon holds at least.
     pub held_ahead: f64,
-    /// What fails.
+    /// Failures.
     pub failures: Failures,
 }
 
 impl Load {
-    /// A load without failures.
+    /// Creates a workload with one budget and without failures.
     pub fn new(name: &'static str, daemons: usize, tokens: Tokens, rate: f64) -> Self {
         Load {
             name,
@@ -77,14 +77,14 @@
         }
     }
 
-    /// The same load with these failures.
+    /// Sets the failures.
     #[must_use]
     pub fn with_failures(mut self, failures: Failures) -> Self {
         self.failures = failures;
         self
     }
 
-    /// The requests of this load, from a seed.
+    /// Draws the requests of this workload, in order of time.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut at = 0.0;
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Demand goes round three halls in the time of the load.
+    /// Draws the daemon of a request. Shifting demand moves through three halls in the time of the
+    /// workload.
     fn daemon_at(&self, at: f64, rng: &mut StdRng) -> usize {
         if !self.shifting {
             return rng.random_range(0..self.daemons);
--- a/crates/bench/src/budget_policy.rs
+++ b/crates/bench/src/budget_policy.rs
@@ -1,22 +1,23 @@
-//! The design and the baselines that it is measured against.
+//! Policies of the budget simulation: the daemon's own, and baselines to compare it with.
 
-/// How a budget is kept.
+/// How a budget is enforced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// Grants, collected before a refusal, moved between peers in an outage.
+    /// The daemon's policy: grants, which are collected before a request is refused and
+    /// transferred between peers during an outage.
     Design,
-    /// Grants without collecting or moving them.
+    /// Grants that are neither collected nor transferred.
     GrantsOnly,
-    /// One conditional update of the store for each request.
+    /// One conditional update of the store per request.
     UpdatePerRequest,
-    /// An equal part for each daemon, once and for all.
+    /// A fixed, equal share for each daemon.
     EqualSplit,
-    /// Each daemon checks a sum that it reads once a second: it overspends,
-    /// which shows that the check can fail.
+    /// Each daemon checks the spent sum that it reads once per second. It overspends, which shows
+    /// that the check for overspending can fail.
     CachedSum,
 }
 
-/// Every policy.
+/// All policies.
 pub const POLICIES: [Policy; 5] = [
     Policy::Design,
     Policy::GrantsOnly,
--- a/crates/bench/src/budget_simulation.rs
+++ b/crates/bench/src/budget_simulation.rs
@@ -1,4 +1,7 @@
-//! Daemons, a store and links in simulated time, for loads on budgets.
+//! Simulation of daemons that spend budgets, with a store and links between them.
+//!
+//! `caller` handles requests and draws, `owner` the owners of shards and what they request from
+//! holders, and `baseline` the policies without owners.
 
 mod baseline;
 mod caller;
@@ -19,13 +22,13 @@
 use crate::budget_policy::Policy;
 use crate::schedule::Schedule;
 
-/// One way between daemons.
+/// Delay of a message between daemons, one way, in milliseconds.
 const LINK_DELAY_MS: Millis = 1;
 
-/// A call of the store, there and back.
+/// Duration of a call to the store, in milliseconds.
 const STORE_CALL_MS: Millis = 5;
 
-/// Draws of one request before it is refused, as in the daemon.
+/// Maximum number of draws for one request before it is refused, as in the daemon.
 const MAX_DRAWS: u32 = 8;
 
 enum SimulationEvent {
@@ -37,35 +40,44 @@
         max_tokens: Tokens,
         used_tokens: Tokens,
     },
+    /// An input of the shard's owner at a daemon.
     OwnerEvent {
         daemon: usize,
         shard: u32,
         event: Event,
     },
+    /// A reply to a draw reaches the holder.
     DrawReplied {
         pending: PendingDraw,
         reply: Reply,
+        /// Daemon that transferred tokens, and its cumulative transfers to the holder.
         sent: Option<(Incarnation, Tokens)>,
     },
+    /// A conditional update of [`Policy::UpdatePerRequest`] completes.
     CasDone {
         arrival: Arrival,
         tries: u32,
         version: u64,
     },
+    /// A daemon with [`Policy::CachedSum`] reads the spent sums.
     CacheRead {
         daemon: usize,
     },
+    /// Each budget gets more tokens.
     TopUp(Tokens),
+    /// Daemon 1 is killed.
     DaemonKilled,
 }
 
+/// A request that waits for tokens.
 #[derive(Debug, Clone, Copy)]
 struct WaitingRequest {
     arrival: Arrival,
+    /// Draws so far.
     draws: u32,
 }
 
-/// A draw under way; nobody waits for one that is made ahead.
+/// A pending draw; no request waits for a prefetch.
 struct PendingDraw {
     waiting: Option<WaitingRequest>,
     daemon: usize,
@@ -74,32 +86,39 @@
     witnesses: Vec<Witness>,
 }
 
-/// The world of one run.
+/// State of a run.
 pub struct Simulation {
     policy: Policy,
     load: Load,
     schedule: Schedule<SimulationEvent>,
     now: Millis,
     budgets: Vec<Name>,
+    /// Shards in the store, with their versions.
     stored: HashMap<u32, (u64, Shard)>,
     owners: HashMap<(usize, u32), Owner>,
     holders: Vec<Holder>,
     witness_marks: Vec<WitnessMarks>,
+    /// Pending draws by ticket.
     pending_draws: HashMap<u64, PendingDraw>,
+    /// Time of the last prefetch, by daemon and budget.
     prefetched_at: HashMap<(usize, usize), Millis>,
     next_ticket: u64,
-    /// Per budget: allowed, spent, set aside.
+    /// Tokens of each budget.
     allowed: Vec<Tokens>,
+    /// Spent tokens of each budget.
     spent: Vec<Tokens>,
+    /// Tokens of each budget that are reserved for running requests.
     reserved: Vec<Tokens>,
+    /// Version of each budget, for [`Policy::UpdatePerRequest`].
     versions: Vec<u64>,
+    /// Spent sums that each daemon read last, for [`Policy::CachedSum`].
     cached: Vec<Vec<Tokens>>,
     topped_up: HashSet<usize>,
     outcome: Outcome,
 }
 
 impl Simulation {
-    /// Runs `load` under `policy` and returns what it came to.
+    /// Runs the simulation of a workload with this policy.
     pub fn run(policy: Policy, load: &Load, seed: u64) -> Outcome {
         let budgets: Vec<Name> =
             (0..load.budgets).map(|n| Name::from(format!("budget-{n}"))).collect();
@@ -199,6 +218,7 @@
         self.outcome
     }
 
+    /// Whether the daemon can reach the store now.
     fn can_reach_store(&self, daemon: usize) -> bool {
         let within = |span: Option<(Millis, Millis)>| {
             span.is_some_and(|(from, to)| (from..to).contains(&self.now))
@@ -207,6 +227,7 @@
         !within(self.load.failures.store_outage) && !is_partitioned
     }
 
+    /// Whether the daemon is among those that a partition separates from the store.
     fn is_in_upper_half(&self, daemon: usize) -> bool {
         daemon >= self.load.daemons / 2
     }
@@ -215,11 +236,12 @@
         daemon == 1 && self.load.failures.daemon_killed.is_some_and(|at| self.now >= at)
     }
 
+    /// Whether two daemons can reach each other now.
     fn can_reach(&self, one: usize, two: usize) -> bool {
         let partition = self.load.failures.partition;
         let partition = partition.is_some_and(|(from, to)| (from..to).contains(&self.now));
-        let apart = partition && self.is_in_upper_half(one) != self.is_in_upper_half(two);
-        !apart && !self.is_killed(one) && !self.is_killed(two)
+        let is_separated = partition && self.is_in_upper_half(one) != self.is_in_upper_half(two);
+        !is_separated && !self.is_killed(one) && !self.is_killed(two)
     }
 
     fn top_up(&mut self, tokens: Tokens) {
@@ -242,7 +264,7 @@
     }
 }
 
-/// Shards that a load touches.
+/// Returns the number of shards that the budgets of a workload belong to.
 pub fn shards_used(load: &Load) -> usize {
     let names = (0..load.budgets).map(|n| Name::from(format!("budget-{n}")));
     let shards: HashSet<u32> = names.map(|name| shard_of_budget(&name, BUDGET_SHARDS)).collect();
--- a/crates/bench/src/budget_simulation/baseline.rs
+++ b/crates/bench/src/budget_simulation/baseline.rs
@@ -1,14 +1,15 @@
-//! Policies without owners, as a measure: one object for all, and a sum that is read now and then.
+//! Baseline policies without owners: one conditionally updated object, and a cached sum.
 
 use bankcove_core::Millis;
 
 use crate::budget_load::Arrival;
 use crate::budget_simulation::{MAX_DRAWS, STORE_CALL_MS, Simulation, SimulationEvent};
 
-/// Time between two reads of [`Policy::CachedSum`].
+/// Time between two reads of [`Policy::CachedSum`], in milliseconds.
 const CACHE_REFRESH_MS: Millis = 1_000;
 
 impl Simulation {
+    /// Reads the budget, and schedules the conditional update for the request.
     pub(super) fn start_cas(&mut self, arrival: Arrival, tries: u32) {
         self.outcome.reads += 1;
         let version = self.versions[arrival.budget];
@@ -16,6 +17,7 @@
             .at(self.now + 2 * STORE_CALL_MS, SimulationEvent::CasDone { arrival, tries, version });
     }
 
+    /// Admits the request if the budget suffices and `version` is unchanged; retries on a conflict.
     pub(super) fn finish_cas(&mut self, arrival: Arrival, tries: u32, version: u64) {
         if !self.can_reach_store(arrival.daemon) {
             return self.refuse(arrival);
@@ -35,6 +37,7 @@
         self.admit(arrival, None);
     }
 
+    /// Reads the spent sums, and schedules the next read.
     pub(super) fn refresh_cache(&mut self, daemon: usize) {
         self.outcome.reads += 1;
         if self.can_reach_store(daemon) {
--- a/crates/bench/src/budget_simulation/caller.rs
+++ b/crates/bench/src/budget_simulation/caller.rs
@@ -1,4 +1,4 @@
-//! What daemons do for callers: admissions, refusals, draws.
+//! Handling of callers' requests: admission, refusal and draws.
 
 use bankcove_core::holder::{DrawTerms, PrefetchScope, Reservation};
 use bankcove_core::owner::{Event, Reply, Request};
@@ -11,10 +11,12 @@
     LINK_DELAY_MS, MAX_DRAWS, PendingDraw, Simulation, SimulationEvent, WaitingRequest,
 };
 
-/// Shortest time between two draws ahead, as in the daemon.
+/// Shortest time between two prefetches of a daemon from a budget, in milliseconds, as in the
+/// daemon.
 const PREFETCH_INTERVAL_MS: Millis = 1_000;
 
 impl Simulation {
+    /// Handles a new request by the policy.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         if self.is_killed(arrival.daemon) {
             return;
@@ -37,6 +39,7 @@
         }
     }
 
+    /// Admits a request, and schedules its end.
     pub(super) fn admit(&mut self, arrival: Arrival, reservation: Option<Reservation>) {
         self.reserved[arrival.budget] += arrival.max_tokens;
         let wait = self.now - arrival.at;
@@ -53,6 +56,7 @@
         );
     }
 
+    /// Refuses a request. The refusal is false if the budget had enough tokens.
     pub(super) fn refuse(&mut self, arrival: Arrival) {
         self.outcome.refused += 1;
         let wait = self.now - arrival.at;
@@ -64,6 +68,7 @@
         }
     }
 
+    /// Charges the actual cost of a finished request.
     pub(super) fn finish_request(
         &mut self,
         daemon: usize,
@@ -80,12 +85,13 @@
         if let Some(reservation) = reservation {
             self.holders[daemon].settle(reservation, used_tokens);
         } else if self.policy == Policy::UpdatePerRequest {
-            // The difference goes back by another update.
+            // A second update returns the unused tokens.
             self.outcome.writes += 1;
             self.versions[budget] += 1;
         }
     }
 
+    /// Reserves the tokens of a request and admits it; draws more tokens if there are too few.
     pub(super) fn try_reserve(&mut self, waiting: WaitingRequest) {
         let Arrival { daemon, budget, max_tokens, .. } = waiting.arrival;
         let name = self.budgets[budget].clone();
@@ -104,6 +110,7 @@
         }
     }
 
+    /// Returns the terms of all draws.
     pub(super) fn terms(&self) -> DrawTerms {
         DrawTerms {
             tokens: self.load.tokens,
@@ -117,6 +124,7 @@
         }
     }
 
+    /// Opens and draws tokens for later requests if few are left.
     pub(super) fn prefetch(&mut self, arrival: Arrival, name: &Name) {
         if self.holders[arrival.daemon].needs_opening(name, self.now) {
             self.open(arrival.daemon, name, 0);
@@ -132,11 +140,13 @@
         }
     }
 
+    /// Draws `need` tokens for a waiting request.
     pub(super) fn request_draw(&mut self, mut waiting: WaitingRequest, name: &Name, need: Tokens) {
         waiting.draws += 1;
         self.send_draw(Some(waiting), waiting.arrival.daemon, name, need);
     }
 
+    /// Sends a draw to the owner of the budget's shard; `waiting` is `None` for a prefetch.
     pub(super) fn send_draw(
         &mut self,
         waiting: Option<WaitingRequest>,
@@ -161,6 +171,7 @@
         self.schedule.at(at, SimulationEvent::OwnerEvent { daemon: owner, shard, event });
     }
 
+    /// Records the tokens of a reply, and retries or refuses the waiting request.
     pub(super) fn handle_draw_reply(
         &mut self,
         pending: PendingDraw,
--- a/crates/bench/src/budget_simulation/outcome.rs
+++ b/crates/bench/src/budget_simulation/outcome.rs
@@ -1,48 +1,48 @@
-//! What a run came to.
+//! Outcome of a run.
 
 use bankcove_core::{Millis, Tokens};
 use serde::Serialize;
 
-/// What a run came to.
+/// Outcome of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Outcome {
-    /// Requests that came.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Refused although that many tokens were unspent and not set aside.
+    /// Number of false refusals: enough tokens were neither spent nor reserved.
     pub false_refusals: u64,
-    /// Tokens of false refusals, at their greatest cost.
+    /// Maximum cost of the falsely refused requests, in tokens.
     pub false_tokens: Tokens,
-    /// Tokens of all requests, at their greatest cost.
+    /// Maximum cost of all requests, in tokens.
     pub tokens: Tokens,
     /// Tokens spent beyond the budgets.
     pub overspend: Tokens,
-    /// Writes of the store.
+    /// Number of writes to the store.
     pub writes: u64,
-    /// Reads of the store.
+    /// Number of reads from the store.
     pub reads: u64,
-    /// Messages between daemons.
+    /// Number of messages between daemons.
     pub messages: u64,
-    /// Bytes of the greatest stored shard.
+    /// Size of the largest stored shard, in bytes.
     pub largest_shard: u64,
-    /// Tokens left unspent at the end, over all budgets.
+    /// Unspent tokens of all budgets at the end.
     pub left: Tokens,
     /// Tokens of all budgets.
     pub allowed: Tokens,
-    /// Tokens that a dead daemon took along.
+    /// Tokens held by a killed daemon.
     pub stranded: Tokens,
-    /// Longest wait for an admission, in milliseconds.
+    /// Longest time until a request was admitted or refused, in milliseconds.
     pub longest_wait: Millis,
 }
 
 impl Outcome {
-    /// False refusals, in % of requests.
+    /// Returns the false refusals in % of all requests.
     pub fn false_percent(&self) -> f64 {
         100.0 * self.false_refusals as f64 / self.requests.max(1) as f64
     }
 
-    /// What was left in % of the budgets, when anything was refused.
+    /// Returns the unspent tokens in % of the budgets; 0 if no request was refused.
     pub fn left_percent(&self) -> f64 {
         if self.refused == 0 {
             return 0.0;
@@ -50,7 +50,7 @@
         100.0 * self.left as f64 / self.allowed.max(1) as f64
     }
 
-    /// False refusals, in % of tokens.
+    /// Returns the cost of the false refusals in % of the cost of all requests.
     pub fn false_tokens_percent(&self) -> f64 {
         100.0 * self.false_tokens as f64 / self.tokens.max(1) as f64
     }
--- a/crates/bench/src/budget_simulation/owner.rs
+++ b/crates/bench/src/budget_simulation/owner.rs
@@ -1,4 +1,4 @@
-//! What daemons do as owners of shards, and as holders whom owners ask.
+//! Owners of shards, and the calls that they make to holders, witnesses and the store.
 
 use bankcove_core::holder::Draw;
 use bankcove_core::owner::{Command, Event, HolderRef, Owner, Reply, Request, WRITE_INTERVAL_MS};
@@ -9,11 +9,12 @@
 use crate::budget_policy::Policy;
 use crate::budget_simulation::{LINK_DELAY_MS, STORE_CALL_MS, Simulation, SimulationEvent};
 
-/// Wait for a peer that does not answer.
+/// Timeout of a call to a peer, in milliseconds.
 const PEER_TIMEOUT_MS: Millis = 200;
 
 impl Simulation {
-    /// The first daemon in reach, from a place that the shard decides.
+    /// Returns the owner of a shard as seen by a daemon: the first one that it can reach, in an
+    /// order that depends on the shard.
     pub(super) fn owner_of(&self, shard: u32, daemon: usize) -> usize {
         let first = shard as usize * 7 % self.load.daemons;
         let ranked = (0..self.load.daemons).map(|n| (first + n) % self.load.daemons);
@@ -21,6 +22,7 @@
         usable.next().unwrap_or(daemon)
     }
 
+    /// Passes an event to the owner of the shard at this daemon, and executes its commands.
     pub(super) fn handle_owner_event(&mut self, daemon: usize, shard: u32, event: Event) {
         if self.is_killed(daemon) {
             return;
@@ -37,6 +39,7 @@
         }
     }
 
+    /// Executes a command of an owner, and schedules the resulting event.
     pub(super) fn execute(&mut self, daemon: usize, shard: u32, command: Command) {
         let later = |event| SimulationEvent::OwnerEvent { daemon, shard, event };
         match command {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// The next two daemons in reach.
+    /// Returns the witnesses of a holder: the next two daemons that it can reach.
     pub(super) fn witnesses(&self, daemon: usize) -> Vec<Witness> {
         let count = self.load.daemons;
         let others = (1..count).map(|n| (daemon + n) % count);
@@ -82,6 +85,7 @@
         reachable.take(2).map(witness).collect()
     }
 
+    /// Opens granted tokens for spending if the witnesses agree; returns whether any were opened.
     pub(super) fn open(&mut self, daemon: usize, budget: &Name, tokens: Tokens) -> bool {
         let Some(opening) = self.holders[daemon].next_opening(budget, tokens, self.now) else {
             return false;
@@ -95,6 +99,7 @@
         agreed && self.holders[daemon].confirm_opening(budget, &opening)
     }
 
+    /// Reclaims the unopened tokens of a killed holder through one of its witnesses.
     pub(super) fn reclaim(
         &mut self,
         daemon: usize,
@@ -114,6 +119,7 @@
         self.schedule.at(self.now, SimulationEvent::OwnerEvent { daemon, shard, event });
     }
 
+    /// Writes a shard to the store if its version is still `version`.
     pub(super) fn store_write(
         &mut self,
         daemon: usize,
@@ -133,6 +139,8 @@
         Event::Written(version + 1)
     }
 
+    /// Collects the free tokens of all reachable holders at the owner; returns the resulting event
+    /// and the duration in milliseconds.
     pub(super) fn gather(
         &mut self,
         daemon: usize,
@@ -168,6 +176,7 @@
         (Event::Gathered { budget, free, more_expected: true }, took)
     }
 
+    /// Transfers up to `most` tokens of the owner to the holder of a draw, and replies.
     pub(super) fn transfer(
         &mut self,
         owner: usize,
@@ -187,6 +196,7 @@
         self.reply(ticket, reply, Some((Incarnation(owner as u64), sent)));
     }
 
+    /// Sends the reply to a pending draw.
     pub(super) fn reply(&mut self, ticket: u64, reply: Reply, sent: Option<(Incarnation, Tokens)>) {
         let Some(pending) = self.pending_draws.remove(&ticket) else { return };
         let delay_ms = if pending.owner == pending.daemon { 0 } else { LINK_DELAY_MS };
--- a/crates/bench/src/routing_simulation.rs
+++ b/crates/bench/src/routing_simulation.rs
@@ -1,5 +1,4 @@
-//! Engines with slots and prefix caches, and daemons that route to them, in
-//! simulated time.
+//! Simulation of daemons that route requests to engines with slots and prefix caches.
 
 use std::collections::VecDeque;
 
@@ -13,26 +12,27 @@
 
 use crate::schedule::Schedule;
 
-/// Requests that one engine runs at once.
+/// Number of requests that one engine runs at once.
 const SLOTS_PER_SERVER: usize = 8;
 
-/// Prefixes that one engine keeps.
+/// Number of prefixes that one engine caches.
 const CACHED_PREFIXES_PER_SERVER: usize = 24;
 
-/// Different prefixes that callers use.
+/// Number of different prefixes that callers use.
 const PREFIXES: u64 = 400;
 
-/// Time to read a prompt whose prefix is not cached, and one whose is.
+/// Prefill time of a prompt whose prefix is not cached, in milliseconds.
 const UNCACHED_PREFILL_MS: Millis = 240;
+/// Prefill time of a prompt whose prefix is cached, in milliseconds.
 const CACHED_PREFILL_MS: Millis = 40;
 
-/// Time between two tokens.
+/// Time between two tokens, in milliseconds.
 const TOKEN_MS: Millis = 20;
 
-/// Longest time to a first token that is told apart.
+/// Upper bound of the histogram of times to the first token, in milliseconds.
 const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 
-/// Age of load reports, and the time between them.
+/// Time between two load reports, and their maximum age, in milliseconds.
 const REPORT_INTERVAL_MS: Millis = 500;
 
 /// How a server is chosen.
@@ -40,13 +40,13 @@
 pub enum RoutingPolicy {
     /// The daemon's own router.
     Design,
-    /// Each server in its turn.
+    /// Each server in turn.
     RoundRobin,
-    /// The server with the least load in the last reports.
+    /// The server with the least load in the latest reports.
     LeastReported,
 }
 
-/// What fails in the second half.
+/// What fails in the second half of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Nothing.
@@ -57,20 +57,20 @@
     HallGone,
 }
 
-/// What a run came to.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct Outcome {
     /// Time to the first token, in milliseconds.
     pub first_token: Histogram<u64>,
-    /// Requests whose prefix was cached, in %.
+    /// Requests whose prefix was cached, in % of all requests.
     pub cache_hits_percent: f64,
-    /// Requests at the busiest server, against the mean.
+    /// Requests at the busiest server, relative to the mean of all servers.
     pub busiest_ratio: f64,
-    /// Requests that a server refused and that were sent again.
+    /// Number of requests that a server refused and that were sent again.
     pub retries: u64,
-    /// Requests that found no server.
+    /// Number of requests that found no server.
     pub unserved: u64,
-    /// Requests in all.
+    /// Number of requests.
     pub requests: u64,
 }
 
@@ -79,24 +79,31 @@
     arrived_at: Millis,
     daemon: usize,
     prefix: u64,
+    /// Tokens of the completion.
     tokens: u64,
 }
 
 enum SimulationEvent {
     RequestArrived(Request),
-    RequestEnded { server: usize, request: Request },
+    RequestEnded {
+        server: usize,
+        request: Request,
+    },
+    /// All servers report their load to all daemons.
     ReportLoad,
 }
 
 #[derive(Debug, Default)]
 struct Engine {
+    /// Number of requests in a slot.
     running: usize,
     queue: VecDeque<Request>,
+    /// Cached prefixes, least recently used first.
     cache: VecDeque<u64>,
     served: u64,
 }
 
-/// The world of one run.
+/// State of a run.
 pub struct Simulation {
     policy: RoutingPolicy,
     fault: Fault,
@@ -106,14 +113,16 @@
     engines: Vec<Engine>,
     halls: usize,
     routers: Vec<Router>,
+    /// Load of each server in the latest report.
     reported: Vec<u32>,
     round_robin_next: usize,
     rng: StdRng,
     outcome: Outcome,
+    /// Number of requests whose prefix was cached.
     hits: u64,
 }
 
-/// A table with this many servers in this many halls.
+/// Returns a table with this many servers in this many halls.
 pub fn table(servers: usize, halls: usize) -> Table {
     let hall = |n: usize| json!({"name": format!("hall-{n}")});
     let server = |n: usize| {
@@ -128,11 +137,11 @@
         "servers": (0..servers).map(server).collect::<Vec<_>>(),
         "routes": [{"name": "chat", "to": "model", "model": "m"}],
     });
-    serde_json::from_value(value).expect("the value has the shape of a table")
+    serde_json::from_value(value).expect("the value is a valid table")
 }
 
 impl Simulation {
-    /// Runs a load of `rate` requests a second for `length` milliseconds.
+    /// Runs the simulation with `rate` requests per second for `length_ms` milliseconds.
     pub fn run(
         policy: RoutingPolicy,
         fault: Fault,
@@ -161,7 +170,7 @@
             rng: StdRng::seed_from_u64(seed),
             outcome: Outcome {
                 first_token: Histogram::new_with_bounds(1, MAX_FIRST_TOKEN_MS, 3)
-                    .expect("the bounds are usable"),
+                    .expect("the bounds are valid"),
                 cache_hits_percent: 0.0,
                 busiest_ratio: 0.0,
                 retries: 0,
@@ -179,7 +188,7 @@
         let mut at = 0.0;
         while at < self.length_ms as f64 {
             at += -self.rng.random::<f64>().max(1e-12).ln() * 1000.0 / rate;
-            // The square favours low numbers: few prefixes are used by many.
+            // The square favors low numbers, so that many requests share few prefixes.
             let part: f64 = self.rng.random();
             let request = Request {
                 arrived_at: at as Millis,
@@ -220,15 +229,18 @@
         self.now >= self.length_ms / 2
     }
 
+    /// Whether the server refuses connections now.
     fn refuses(&self, server: usize) -> bool {
         self.fault == Fault::HallGone && self.is_fault_active() && server % self.halls == 0
     }
 
+    /// Returns the factor by which the server is slower than usual.
     fn slow_factor(&self, server: usize) -> Millis {
         let slow = self.fault == Fault::SlowServer && self.is_fault_active() && server == 0;
         if slow { 10 } else { 1 }
     }
 
+    /// Sends a request to a server, with at most three attempts.
     fn handle_arrival(&mut self, request: Request) {
         self.outcome.requests += 1;
         let mut tried: Vec<Name> = Vec::new();
@@ -250,6 +262,7 @@
         self.outcome.unserved += 1;
     }
 
+    /// Chooses a server by the routing policy.
     fn choose(&mut self, request: &Request, tried: &[Name]) -> Option<usize> {
         match self.policy {
             RoutingPolicy::Design => {
@@ -278,6 +291,7 @@
         }
     }
 
+    /// Starts queued requests of the server while it has free slots.
     fn start_queued(&mut self, server: usize) {
         let slow_factor = self.slow_factor(server);
         let engine = &mut self.engines[server];
