--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -1,8 +1,8 @@
-//! Budgets: overspend, false refusals and store calls of the design and its
-//! baselines, on the same loads and failures, and their growth.
+//! Budgets: overspend, false refusals and store calls of the daemon's policy and its baselines,
+//! with the same workloads and failures, and their growth.
 //!
-//! `cargo bench -p bankcove-bench --bench budgets` prints everything; figures
-//! are counts of simulated runs from a seed, so they repeat exactly.
+//! `cargo bench -p bankcove-bench --bench budgets` prints all results. They are counts of simulated
+//! runs from a seed, so they are reproducible exactly.
 
 use bankcove_bench::budget_load::{Failures, Load};
 use bankcove_bench::budget_policy::{POLICIES, Policy};
@@ -11,11 +11,11 @@
 const SEED: u64 = 1;
 
 fn loads() -> Vec<Load> {
-    // A request costs about 350 tokens at most and 210 in the mean, so 20 a
-    // second for a minute spend about 250,000.
+    // A request costs at most about 350 tokens and on average 210, so 20 requests per second spend
+    // about 250,000 tokens in a minute.
     let outage = Failures { store_outage: Some((15_000, 50_000)), ..Failures::default() };
-    let killed = Failures { daemon_killed: Some(20_000), ..Failures::default() };
-    let apart = Failures {
+    let daemon_killed = Failures { daemon_killed: Some(20_000), ..Failures::default() };
+    let partition = Failures {
         partition: Some((15_000, 45_000)),
         top_up: Some((20_000, 150_000)),
         ..Failures::default()
@@ -29,8 +29,8 @@
         shifting,
         Load::new("outage, plenty", 8, 2_000_000, 20.0).with_failures(outage),
         Load::new("outage, tight", 8, 260_000, 20.0).with_failures(outage),
-        Load::new("daemon killed", 8, 200_000, 20.0).with_failures(killed),
-        Load::new("top-up apart", 8, 110_000, 20.0).with_failures(apart),
+        Load::new("daemon killed", 8, 200_000, 20.0).with_failures(daemon_killed),
+        Load::new("top-up apart", 8, 110_000, 20.0).with_failures(partition),
     ]
 }
 
@@ -90,7 +90,7 @@
     for daemons in [8, 32, 128, 256] {
         let rate = 4.0 * daemons as f64;
         for (tokens, share) in [("plenty", 10.0), ("runs out", 0.6)] {
-            // About 210 tokens a request are spent.
+            // A request spends about 210 tokens.
             let budget_tokens = (rate * 10.0 * 210.0 * share) as u64;
             let mut load = Load::new("growth", daemons, budget_tokens, rate);
             load.length_ms = 10_000;
@@ -116,7 +116,8 @@
     );
     for held_ahead in [0.0, 0.25, 0.5, 1.0] {
         let percent = |name: &str| {
-            let mut load = loads().into_iter().find(|load| load.name == name).expect("a load");
+            let mut load =
+                loads().into_iter().find(|load| load.name == name).expect("the workload exists");
             load.held_ahead = held_ahead;
             Simulation::run(Policy::Design, &load, SEED).false_percent()
         };
--- a/crates/bench/benches/crashes.rs
+++ b/crates/bench/benches/crashes.rs
@@ -1,5 +1,5 @@
-//! What it costs to know which requests crash their servers: the hash of a request, a verdict,
-//! the digest in a heartbeat, what one daemon tells another, and a decision.
+//! Cost of tracking which requests crash servers: the hash of a request, a verdict, the digest in
+//! a heartbeat, facts sent between daemons, and a decision.
 //!
 //! `cargo bench -p bankcove-bench --bench crashes`
 
@@ -9,21 +9,21 @@
 use bankcove_core::{Fingerprint, Millis, Name};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
-/// Crashes that a book remembers at most.
+/// Maximum number of crashes that a tracker stores.
 const MAX_CRASHES: usize = 256;
 
-/// Requests aboard of a server in a pool that is half full.
+/// Number of requests that a server runs in a pool with half of its slots in use.
 const REQUESTS_PER_CRASH: usize = 32;
 
-/// A book after so many crashes, with as many requests aboard of each, all of them different
-/// but for one that three crashes speak against.
+/// Returns a tracker of this many crashes with [`REQUESTS_PER_CRASH`] requests each. All requests
+/// are different, except for one that three crashes count against.
 fn tracker(crashes: usize) -> CrashTracker {
     let mut tracker = CrashTracker::default();
     for crash in 0..crashes {
         let server = ServerStart { name: Name::from(format!("i-{crash:010}")), started_ms: 0 };
         let now = 500 * crash as Millis;
-        for place in 0..REQUESTS_PER_CRASH {
-            let request = Fingerprint(1_000 + (crash * REQUESTS_PER_CRASH + place) as u128);
+        for n in 0..REQUESTS_PER_CRASH {
+            let request = Fingerprint(1_000 + (crash * REQUESTS_PER_CRASH + n) as u128);
             tracker.record_disconnect(now, &server, request);
         }
         if crash < 3 {
@@ -44,7 +44,7 @@
     for crashes in [3, MAX_CRASHES] {
         let tracker = tracker(crashes);
         let now = 500 * crashes as Millis;
-        let encoded = bincode::serialize(&tracker.facts(now)).expect("facts can be written");
+        let encoded = bincode::serialize(&tracker.facts(now)).expect("facts can be encoded");
         println!(
             "facts of {crashes} crashes, {REQUESTS_PER_CRASH} aboard each: {} bytes",
             encoded.len()
@@ -67,18 +67,20 @@
     }
 }
 
-/// Requests that three crashes speak against, the same ones: what an engine runs at its most.
+/// Number of requests that the same three crashes count against: the most that an engine runs at
+/// once.
 const CANDIDATES: usize = 128;
 
-/// A full book, then three crashes with the same requests aboard.
+/// Returns a full tracker after three crashes with the same [`CANDIDATES`] requests, and the time
+/// of their decision.
 fn candidates() -> (CrashTracker, Millis) {
     let mut tracker = tracker(MAX_CRASHES - 3);
     let mut now = 500 * MAX_CRASHES as Millis;
     for crash in 0..3 {
         now += 1_000;
         let server = ServerStart { name: Name::from(format!("j-{crash}")), started_ms: 0 };
-        for place in 0..CANDIDATES {
-            tracker.record_disconnect(now, &server, Fingerprint(10 + place as u128));
+        for n in 0..CANDIDATES {
+            tracker.record_disconnect(now, &server, Fingerprint(10 + n as u128));
         }
         tracker.record_crash(now, &server);
     }
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time of one routing decision, from 16 to 10,000 backend servers.
+//! Time of one routing decision with 16 to 10,000 backend servers.
 //!
 //! `cargo bench -p bankcove-bench --bench decision`
 
@@ -15,7 +15,7 @@
         group.bench_with_input(BenchmarkId::from_parameter(servers), &router, |b, router| {
             b.iter(|| {
                 seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                let wanted = RoutingRequest {
+                let request = RoutingRequest {
                     pool: "m",
                     prefix: seed,
                     prompt_tokens: 0,
@@ -24,7 +24,7 @@
                     tried: &[],
                     homes: Default::default(),
                 };
-                router.choose(0, &wanted)
+                router.choose(0, &request)
             });
         });
     }
--- a/crates/bench/benches/hints.rs
+++ b/crates/bench/benches/hints.rs
@@ -1,11 +1,12 @@
-//! Servers that leave or ask for rest: what callers see by who keeps to a rest, by whether a
-//! request waits for its end, and what it costs to tell a fleet of a release.
+//! Servers that leave or ask for rest: results for callers, by which daemons observe a rest period
+//! and how long a request waits for its end, and the cost of announcing a release to a fleet.
 //!
 //! `cargo bench -p bankcove-bench --bench hints`
 
 use bankcove_bench::hint_simulation::{Action, Outcome, RestHandling, Setup, Simulation};
 use bankcove_bench::limit_simulation::Faults;
 
+/// Number of runs per row, each with its own seed.
 const SEEDS: u64 = 3;
 
 fn setup(seed: u64, daemons: usize, servers: usize) -> Setup {
@@ -24,16 +25,17 @@
     }
 }
 
+/// Prints the means of the runs; for the requests in a rest period, the maximum.
 fn print_row(label: &str, outcomes: &[Outcome]) {
     let mean = |figure: &dyn Fn(&Outcome) -> f64| {
         outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
     };
-    let part = |of: usize, outcome: &Outcome| of as f64 / outcome.requests as f64;
+    let fraction = |of: usize, outcome: &Outcome| of as f64 / outcome.requests as f64;
     println!(
         "{label:<44} {:>6.3} {:>8.3} {:>8.3} {:>6.0} {:>6.0} {:>6.0} {:>6}",
-        mean(&|outcome| part(outcome.served, outcome)),
-        mean(&|outcome| part(outcome.rejected, outcome)),
-        mean(&|outcome| part(outcome.refused, outcome)),
+        mean(&|outcome| fraction(outcome.served, outcome)),
+        mean(&|outcome| fraction(outcome.rejected, outcome)),
+        mean(&|outcome| fraction(outcome.refused, outcome)),
         mean(&|outcome| outcome.delay.value_at_quantile(0.5) as f64),
         mean(&|outcome| outcome.delay.value_at_quantile(0.95) as f64),
         mean(&|outcome| outcome.delay.value_at_quantile(0.99) as f64),
@@ -41,11 +43,12 @@
     );
 }
 
+/// Runs a setup with each seed, and prints a row.
 fn run_and_print(label: &str, make: impl Fn(u64) -> Setup) {
     print_row(label, &(0..SEEDS).map(|seed| Simulation::run(make(seed))).collect::<Vec<_>>());
 }
 
-/// Part of the servers turn everything away for most of the run, as in the incident.
+/// A part of the servers rejects all requests for most of the run, as in the incident.
 fn run_some_shedding(daemons: usize, rest_handling: RestHandling, max_wait_ms: u64) {
     run_and_print(&format!("{daemons} daemons, 4 of 12 shed, {rest_handling:?}"), |seed| {
         let actions = (0..4).map(|server| (5_000, server, Action::Shed(3_000)));
@@ -53,7 +56,7 @@
     });
 }
 
-/// More is wanted than the servers run; each asks for rest when it is full.
+/// Callers send more requests than the servers can run; each asks for rest when it is full.
 fn run_all_full(daemons: usize, rest_ms: u64, rest_handling: RestHandling, max_wait_ms: u64) {
     run_and_print(
         &format!("{daemons} daemons, full, rest {rest_ms}, {rest_handling:?}, waits {max_wait_ms}"),
@@ -71,16 +74,17 @@
     );
 }
 
+/// Half of the servers leave one after the other, as in a release.
 fn run_release(daemons: usize, servers: usize) {
     let actions = (0..servers / 2)
         .map(|n| (5_000 + n as u64 * 60_000 / (servers as u64 / 2), n, Action::Leave));
-    let base = Setup {
+    let setup = Setup {
         actions: actions.collect(),
         per_second: 400.0,
         length_ms: 70_000,
         ..setup(1, daemons, servers)
     };
-    let outcome = Simulation::run(base);
+    let outcome = Simulation::run(setup);
     let per_daemon = outcome.bytes as f64 / daemons as f64;
     println!(
         "release, {daemons} daemons, {servers} servers: known to all within {:?} ms, {:.0} bytes a daemon, {:.0} a server that left, late {}",
--- a/crates/bench/benches/limits.rs
+++ b/crates/bench/benches/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of servers: what a server that names one gets from fleets of different sizes, by
-//! different ways to keep to it, and what callers see.
+//! Limits of servers: requests that a server with a limit receives from fleets of different sizes,
+//! by the way in which the limit is enforced, and results for callers.
 //!
 //! `cargo bench -p bankcove-bench --bench limits`
 
@@ -9,7 +9,9 @@
 };
 
 const LENGTH_MS: u64 = 40_000;
+/// Time at which the servers announce their limits, in milliseconds.
 const ANNOUNCED_AT_MS: u64 = 5_000;
+/// Number of runs per row, each with its own seed.
 const SEEDS: u64 = 3;
 
 fn setup(seed: u64, daemons: usize, limits: &[Option<f64>], enforcement: Enforcement) -> Setup {
@@ -25,13 +27,14 @@
     }
 }
 
-/// Part of what the first server takes that it got after the hosts were bound.
+/// Returns the used fraction of the first server's limit from the time when it binds all hosts.
 fn used_fraction(outcome: &Outcome, limit: f64) -> f64 {
     let from = ANNOUNCED_AT_MS + 3_000;
-    let got = outcome.arrivals[0].iter().filter(|at| **at > from).count();
-    got as f64 / (limit * (LENGTH_MS - from) as f64 / 1_000.0)
+    let received = outcome.arrivals[0].iter().filter(|at| **at > from).count();
+    received as f64 / (limit * (LENGTH_MS - from) as f64 / 1_000.0)
 }
 
+/// Prints the means of the runs; for counts per window and the propagation time, the maximum.
 fn print_row(label: &str, limit: f64, outcomes: &[Outcome]) {
     let worst = outcomes.iter().map(|outcome| max_per_window(&outcome.counted_arrivals[0])).max();
     let worst_of_all = outcomes.iter().map(|outcome| {
--- a/crates/bench/benches/routing.rs
+++ b/crates/bench/benches/routing.rs
@@ -1,5 +1,5 @@
-//! Routing: time to the first token, prefix hits and balance of the design,
-//! of round robin and of least reported load, on the same seeded load.
+//! Routing: time to the first token, prefix cache hits and balance of the daemon's router, of round
+//! robin and of the least reported load, with the same seeded workload.
 //!
 //! `cargo bench -p bankcove-bench --bench routing`
 
@@ -28,15 +28,15 @@
                 [RoutingPolicy::Design, RoutingPolicy::RoundRobin, RoutingPolicy::LeastReported]
             {
                 let outcome = Simulation::run(policy, fault, rate, LENGTH_MS, SEED);
-                let at = |quantile| outcome.first_token.value_at_quantile(quantile);
+                let first_token_ms = |quantile| outcome.first_token.value_at_quantile(quantile);
                 println!(
                     "{:<11} {:<14} {:>5} {:>8} {:>8} {:>8} {:>7.1} {:>8.2} {:>10} {:>5}",
                     format!("{fault:?}"),
                     format!("{policy:?}"),
                     rate,
-                    at(0.50),
-                    at(0.95),
-                    at(0.99),
+                    first_token_ms(0.50),
+                    first_token_ms(0.95),
+                    first_token_ms(0.99),
                     outcome.cache_hits_percent,
                     outcome.busiest_ratio,
                     outcome.retries,
--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md: bytes and allocations for each thing that a
-//! role keeps, sends or stores, over at least four sizes.
+//! Slopes for docs/CAPACITY.md: bytes, time and allocations per item that a role holds in memory,
+//! sends or stores, from at least four sizes.
 //!
 //! `cargo bench -p bankcove-bench --bench slopes`
 
@@ -27,24 +27,26 @@
 use bankcoved::peer::PermitAnswer;
 use serde_json::json;
 
-/// Counts the bytes that are allocated and not yet freed.
+/// System allocator that counts the allocated bytes and the allocations.
 struct CountingAllocator;
 
+/// Bytes that are allocated and not yet freed.
 static ALLOCATED_BYTES: AtomicI64 = AtomicI64::new(0);
+/// Number of allocations.
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call is handed to the system's allocator unchanged.
+// SAFETY: every call is passed on unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size() as i64, Ordering::Relaxed);
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size() as i64, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
@@ -52,25 +54,25 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Bytes held by what `make` makes.
+/// Returns the bytes that the value created by `make` has allocated.
 fn allocated_bytes<T>(make: impl FnOnce() -> T) -> f64 {
     let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
-    let made = make();
+    let value = make();
     let after = ALLOCATED_BYTES.load(Ordering::Relaxed);
-    drop(made);
+    drop(value);
     (after - before) as f64
 }
 
-/// Prints the sizes, the values, and the slope by least squares.
+/// Prints the values for these sizes, and their slope by least squares.
 fn slope(label: &str, unit: &str, sizes: [usize; 4], value: impl Fn(usize) -> f64) {
     let points: Vec<(f64, f64)> = sizes.iter().map(|n| (*n as f64, value(*n))).collect();
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let over: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-    let under: f64 = points.iter().map(|(x, _)| (x - mean_x) * (x - mean_x)).sum();
+    let covariance: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x) * (x - mean_x)).sum();
     let raw: Vec<String> = points.iter().map(|(x, y)| format!("{x}: {y:.0}")).collect();
-    println!("{label:<44} {:>9.2} {unit:<16} {}", over / under, raw.join(", "));
+    println!("{label:<44} {:>9.2} {unit:<16} {}", covariance / variance, raw.join(", "));
 }
 
 fn json_bytes(value: &impl serde::Serialize) -> f64 {
@@ -104,7 +106,7 @@
     Witness { incarnation: Incarnation(n * 104_729), address: "10.12.34.57:8081".into() }
 }
 
-/// A table with this many budgets of 620 workspaces.
+/// Returns a table with this many budgets, spread over 620 workspaces.
 fn budget_table(budgets: usize) -> Table {
     let budget = |n: usize| {
         json!({
@@ -113,9 +115,10 @@
         })
     };
     let value = json!({"budgets": (0..budgets).map(budget).collect::<Vec<_>>()});
-    serde_json::from_value(value).expect("the value has the shape of a table")
+    serde_json::from_value(value).expect("the value is a valid table")
 }
 
+/// Returns a shard with this many budgets and holders per budget.
 fn shard(budgets: usize, holders: u64) -> Shard {
     let mut shard = Shard::default();
     for n in 0..budgets {
@@ -172,10 +175,10 @@
     holder
 }
 
-/// A book of so many servers that name a limit.
+/// Returns a tracker of this many servers with a limit.
 fn limit_tracker(servers: usize) -> LimitTracker {
     let mut tracker = LimitTracker::default();
-    let rate = RequestRate::new(1.2).expect("it is a rate");
+    let rate = RequestRate::new(1.2).expect("the rate is valid");
     for n in 0..servers {
         let server = ServerStart { name: Name::from(format!("i-{n:010}")), started_ms: 1 };
         tracker.record_response(10, &server, 0, &LimitHeader::Limit(rate));
@@ -183,7 +186,7 @@
     tracker
 }
 
-/// So many starts of servers that leave.
+/// Returns this many leaving server starts.
 fn leaving_servers(servers: usize) -> LeavingServers {
     let mut leaving_servers = LeavingServers::default();
     for n in 0..servers {
@@ -215,6 +218,7 @@
     }
 }
 
+/// Returns a request log that has loaded this many requests.
 fn request_log(requests: usize) -> RequestLog {
     let mut log = RequestLog::new(0);
     log.handle(0, Event::Submitted(1, Entry::Bill(bill(requests + 1))));
@@ -223,8 +227,8 @@
     log
 }
 
-/// Nanoseconds of an owner's round for one draw, with so many other budgets
-/// and holders in its shard.
+/// Returns the time in nanoseconds that an owner takes for one draw, with this many budgets in its
+/// shard and holders per budget.
 fn owner_draw_ns(budgets: usize, holders: u64) -> f64 {
     const ROUNDS: u32 = 50;
     let shard = shard(budgets, holders);
@@ -237,7 +241,7 @@
     for round in 0..ROUNDS {
         let now = u64::from(round) + 1;
         let mut draw = draw(&name);
-        // All that was granted is open and used: each draw takes a write.
+        // All granted tokens are opened and spent, so that each draw requires a write.
         draw.opened = 1 << 40;
         owner.handle(now, OwnerEvent::Requested(u64::from(round), Request::Draw(draw)));
         owner.handle(now, OwnerEvent::Written(now + 2));
@@ -303,9 +307,13 @@
     let leaves = HintFact::Leaving(leaving_servers(1).facts(0, 1, 0).remove(0));
     println!("{:<44} {:>9.2} B", "server that leaves, told", wire_bytes(&leaves));
     let request = PermitRequest { from: Incarnation(7_919), permits: 1, urgency: 0 };
-    let asked = wire_bytes(&(fact, request));
+    let request_bytes = wire_bytes(&(fact, request));
     let answer = PermitAnswer::denied(278);
-    println!("{:<44} {:>9.2} B", "permit asked for and answered", asked + wire_bytes(&answer));
+    println!(
+        "{:<44} {:>9.2} B",
+        "permit asked for and answered",
+        request_bytes + wire_bytes(&answer)
+    );
     let table: Table = table(10_000, 10);
     println!("{:<44} {:>9.0} B", "whole table of 10,000 servers", json_bytes(&table));
 }
@@ -322,9 +330,9 @@
         const ROUNDS: u64 = 200;
         let mut members = members(n);
         for peer in (0..n).map(host) {
-            let mut beat = heartbeat();
-            beat.name = peer.name;
-            members.record_heartbeat(0, &beat);
+            let mut heartbeat = heartbeat();
+            heartbeat.name = peer.name;
+            members.record_heartbeat(0, &heartbeat);
         }
         let started = Instant::now();
         for key in 0..ROUNDS {
@@ -336,7 +344,7 @@
         const ROUNDS: u64 = 10_000;
         let mut tracker = limit_tracker(n);
         let server = ServerStart { name: Name::from(format!("i-{:010}", n / 2)), started_ms: 1 };
-        let header = LimitHeader::Limit(RequestRate::new(1.2).expect("it is a rate"));
+        let header = LimitHeader::Limit(RequestRate::new(1.2).expect("the rate is valid"));
         let started = Instant::now();
         for now in 0..ROUNDS {
             std::hint::black_box(tracker.record_response(100 + now, &server, 50 + now, &header));
@@ -348,7 +356,7 @@
         let members = members(n);
         let mut issuer = Issuer::default();
         let server = ServerStart { name: Name::from("i-0000000001"), started_ms: 1 };
-        let limit = RequestRate::new(1.2).expect("it is a rate");
+        let limit = RequestRate::new(1.2).expect("the rate is valid");
         let started = Instant::now();
         for now in 0..ROUNDS {
             std::hint::black_box(members.owners_including_silent(server.key(), ISSUERS_PER_SERVER));
