--- a/crates/bench/tests/hint_fleet.rs
+++ b/crates/bench/tests/hint_fleet.rs
@@ -1,6 +1,8 @@
-//! Fleets of daemons before servers that leave, rest and start again in series, under cuts,
-//! freezes, restarts and joins: a server gets nothing once it has said that it leaves, and no
-//! more than what was under way from a daemon that it asked for rest.
+//! Fleets of daemons with servers that leave, rest and restart in random order, while daemons are
+//! partitioned, suspended, restarted and added.
+//!
+//! A daemon must send nothing to a server that has announced that it is leaving, and only requests
+//! already in transit to a server that has asked it for rest.
 
 use bankcove_bench::hint_simulation::{Action, RestHandling, Setup, Simulation};
 use bankcove_bench::limit_simulation::{Fault, FaultKind, Faults};
@@ -8,10 +10,10 @@
 
 const LENGTH_MS: u64 = 30_000;
 
-/// Requests that a daemon may still send in a rest.
+/// Maximum number of requests that a daemon may still send in a rest period.
 const MAX_IN_REST: usize = 2;
 
-/// Longest time until all daemons know that a server leaves, where nothing is in trouble.
+/// Longest time until all daemons know that a server is leaving, without faults, in milliseconds.
 const MAX_PROPAGATION_MS: u64 = 500;
 
 fn setup(seed: u64, daemons: usize, servers: usize, actions: Vec<(u64, usize, Action)>) -> Setup {
@@ -37,11 +39,10 @@
         Just(FaultKind::Restart),
         Just(FaultKind::Absent)
     ];
-    let some = prop::collection::vec(0..daemons, 1..=daemons);
-    let fault =
-        (kinds, some, 0..20_000_u64, 200..12_000_u64).prop_map(|(kind, daemons, from, length)| {
-            Fault { kind, daemons, from, until: from + length }
-        });
+    let affected = prop::collection::vec(0..daemons, 1..=daemons);
+    let fault = (kinds, affected, 0..20_000_u64, 200..12_000_u64).prop_map(
+        |(kind, daemons, from, length)| Fault { kind, daemons, from, until: from + length },
+    );
     prop::collection::vec(fault, 0..6).prop_map(Faults)
 }
 
@@ -63,19 +64,23 @@
         seed in any::<u64>(),
         (daemons, faults) in (2..25_usize).prop_flat_map(|n| (Just(n), faults(n))),
         actions in actions(4),
-        told in any::<bool>(),
+        notify_all in any::<bool>(),
     ) {
-        let rest_handling = if told { RestHandling::Told } else { RestHandling::Kept };
-        let outcome = Simulation::run(Setup { faults, rest_handling, ..setup(seed, daemons, 4, actions) });
+        let rest_handling = if notify_all { RestHandling::Told } else { RestHandling::Kept };
+        let outcome =
+            Simulation::run(Setup { faults, rest_handling, ..setup(seed, daemons, 4, actions) });
         prop_assert_eq!(outcome.late_requests, 0);
         prop_assert!(outcome.max_in_rest <= MAX_IN_REST, "{}", outcome.max_in_rest);
     }
 
     #[test]
-    fn all_daemons_learn_of_a_leaving_server_within_500_ms(seed in any::<u64>(), daemons in 2..150_usize) {
+    fn all_daemons_learn_of_a_leaving_server_within_500_ms(
+        seed in any::<u64>(),
+        daemons in 2..150_usize,
+    ) {
         let outcome = Simulation::run(setup(seed, daemons, 4, vec![(2_000, 0, Action::Leave)]));
-        let known = outcome.propagation_ms.expect("all know in the end");
-        prop_assert!(known <= MAX_PROPAGATION_MS, "{known} ms");
+        let propagation_ms = outcome.propagation_ms.expect("all daemons know of it");
+        prop_assert!(propagation_ms <= MAX_PROPAGATION_MS, "{propagation_ms} ms");
     }
 }
 
--- a/crates/bench/tests/limit_fleet.rs
+++ b/crates/bench/tests/limit_fleet.rs
@@ -1,5 +1,7 @@
-//! Fleets of daemons before servers that name limits: whatever is cut, frozen, restarted or
-//! joins, and however limits come and go, a server gets no more than it names.
+//! Fleets of daemons with servers that announce limits.
+//!
+//! A server must not receive more requests than its limit allows while daemons are partitioned,
+//! suspended, restarted and added, and while limits change.
 
 use bankcove_bench::limit_simulation::{
     Enforcement, Fault, FaultKind, Faults, Outcome, Setup, Simulation, WaitPolicy,
@@ -9,13 +11,14 @@
 
 const LENGTH_MS: u64 = 40_000;
 
-/// Part of what a server takes that it gets at the least while callers want it.
+/// Minimum fraction of a limit that a fleet uses while there are enough requests.
 const MIN_USED_FRACTION: f64 = 0.7;
 
-/// A word is known to all hosts, and what was sent before has come, after so long.
+/// Time after which all hosts know a new limit and requests sent before have arrived, in
+/// milliseconds.
 const MAX_PROPAGATION_MS: u64 = 1_000;
 
-/// Length of the spans that are counted.
+/// Length of the time windows in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
 fn setup(seed: u64, daemons: usize, servers: Vec<Vec<(u64, Option<f64>)>>) -> Setup {
@@ -38,15 +41,15 @@
         Just(FaultKind::Restart),
         Just(FaultKind::Absent)
     ];
-    let some = prop::collection::vec(0..daemons, 1..=daemons);
-    let fault =
-        (kinds, some, 0..30_000_u64, 200..12_000_u64).prop_map(|(kind, daemons, from, length)| {
-            Fault { kind, daemons, from, until: from + length }
-        });
+    let affected = prop::collection::vec(0..daemons, 1..=daemons);
+    let fault = (kinds, affected, 0..30_000_u64, 200..12_000_u64).prop_map(
+        |(kind, daemons, from, length)| Fault { kind, daemons, from, until: from + length },
+    );
     prop::collection::vec(fault, 0..6).prop_map(Faults)
 }
 
-/// The highest limit that a server names in this span; none where it names none in a part of it.
+/// Returns the highest limit that a server announces in this time span; `None` if it announces
+/// none in a part of it.
 fn highest_limit(announcements: &[(u64, Option<f64>)], from: u64, until: u64) -> Option<f64> {
     let before = announcements.iter().rev().find(|(at, _)| *at <= from).map(|(_, limit)| *limit);
     let within =
@@ -55,24 +58,25 @@
     announced.reduce(|a, b| Some(a?.max(b?))).flatten()
 }
 
-/// A span in which the server got more than it named.
+/// Describes the first time window in which the server received more than its limit allows.
 fn excess(times: &[u64], announcements: &[(u64, Option<f64>)]) -> Option<String> {
-    let spans = times.iter().enumerate().filter_map(|(first, from)| {
-        let got = times[first..].iter().take_while(|at| **at < from + WINDOW_MS).count();
+    let excesses = times.iter().enumerate().filter_map(|(first, from)| {
+        let received = times[first..].iter().take_while(|at| **at < from + WINDOW_MS).count();
         let limit = highest_limit(
             announcements,
             from.saturating_sub(MAX_PROPAGATION_MS),
             from + WINDOW_MS,
         )?;
-        (got as f64 > allowed_requests(limit)).then(|| format!("{got} from {from} on at {limit}"))
+        (received as f64 > allowed_requests(limit))
+            .then(|| format!("{received} from {from} on at {limit}"))
     });
-    spans.into_iter().next()
+    excesses.into_iter().next()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Counted are the hosts that the rule binds: those that were told, and not in trouble.
+    /// Only hosts that the limit binds are counted: those that received it, without a recent fault.
     #[test]
     fn a_server_gets_no_more_than_its_limit_under_any_fault(
         seed in any::<u64>(),
@@ -87,19 +91,23 @@
         prop_assert!(worst as f64 <= allowed_requests(limit), "{worst} at {limit}");
     }
 
-    /// The same with all hosts counted, whatever befell them, once all know of the limit: cuts
-    /// alone, in any parts, and at any moment.
+    /// All hosts are counted, from the time when all know the limit. The only faults are
+    /// partitions, of any daemons and at any time.
     #[test]
     fn a_partitioned_fleet_stays_within_the_limit(
         seed in any::<u64>(),
         (daemons, partitions) in (2..40_usize).prop_flat_map(|n| (Just(n), faults(n))),
         limit in 0.05..20.0,
     ) {
-        let to_partition = |fault: Fault| Fault { kind: FaultKind::Partition, from: fault.from.max(6_000), ..fault };
+        let to_partition = |fault: Fault| {
+            Fault { kind: FaultKind::Partition, from: fault.from.max(6_000), ..fault }
+        };
         let faults = Faults(partitions.0.into_iter().map(to_partition).collect());
         let announcements = vec![(1_000, Some(limit))];
-        let outcome = Simulation::run(Setup { faults, ..setup(seed, daemons, vec![announcements, vec![]]) });
-        let bound: Vec<u64> = outcome.arrivals[0].iter().copied().filter(|at| *at > 6_000).collect();
+        let outcome =
+            Simulation::run(Setup { faults, ..setup(seed, daemons, vec![announcements, vec![]]) });
+        let bound: Vec<u64> =
+            outcome.arrivals[0].iter().copied().filter(|at| *at > 6_000).collect();
         let worst = max_per_window(&bound);
         prop_assert!(worst as f64 <= allowed_requests(limit), "{worst} at {limit}");
     }
@@ -116,15 +124,23 @@
             (at, limit)
         }).collect();
         let outcome = Simulation::run(setup(seed, daemons, vec![announcements.clone(), vec![]]));
-        let bound: Vec<u64> =
-            outcome.arrivals[0].iter().copied().filter(|at| *at > announcements[0].0 + 3_000).collect();
-        prop_assert!(excess(&bound, &announcements).is_none(), "{:?} {announcements:?}", excess(&bound, &announcements));
+        let bound: Vec<u64> = outcome.arrivals[0]
+            .iter()
+            .copied()
+            .filter(|at| *at > announcements[0].0 + 3_000)
+            .collect();
+        prop_assert!(
+            excess(&bound, &announcements).is_none(),
+            "{:?} {announcements:?}",
+            excess(&bound, &announcements)
+        );
     }
 }
 
+/// Returns the used fraction of the first server's limit after the time `from`.
 fn used_fraction(outcome: &Outcome, from: u64, limit: f64) -> f64 {
-    let got = outcome.arrivals[0].iter().filter(|at| **at > from).count();
-    got as f64 / (limit * (LENGTH_MS - from) as f64 / 1_000.0)
+    let received = outcome.arrivals[0].iter().filter(|at| **at > from).count();
+    received as f64 / (limit * (LENGTH_MS - from) as f64 / 1_000.0)
 }
 
 #[test]
@@ -152,17 +168,18 @@
 fn all_daemons_learn_of_a_limit_within_500_ms() {
     for daemons in [6, 30, 300, 1_300] {
         let outcome = Simulation::run(setup(3, daemons, vec![vec![(5_000, Some(1.2))], vec![]]));
-        let propagation_ms = outcome.propagation_ms.expect("all know of it");
-        assert!(propagation_ms < 500, "{daemons} daemons know after {propagation_ms} ms");
+        let propagation_ms = outcome.propagation_ms.expect("all daemons know of it");
+        assert!(propagation_ms < 500, "{daemons} daemons know it after {propagation_ms} ms");
     }
 }
 
-/// Nothing may be sent, or hardly anything, and still the fleet learns that it was lifted.
+/// A limit of zero allows almost no requests, from whose responses the fleet learns that it was
+/// lifted.
 #[test]
 fn a_lifted_limit_of_zero_is_detected() {
     let announcements = vec![(1_000, Some(0.0)), (5_000, None)];
-    let long = Setup { length_ms: 90_000, ..setup(5, 10, vec![announcements, vec![]]) };
-    let outcome = Simulation::run(long);
+    let setup = Setup { length_ms: 90_000, ..setup(5, 10, vec![announcements, vec![]]) };
+    let outcome = Simulation::run(setup);
     let while_bound = outcome.arrivals[0].iter().filter(|at| (4_000..5_000).contains(*at)).count();
     assert_eq!(while_bound, 0);
     let last = outcome.arrivals[0].iter().filter(|at| **at > 80_000).count();
