--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -9,7 +9,7 @@
 use bankcove_core::members::{Host, HostRole, HostState};
 use bankcove_core::table::Table;
 use bankcove_standins::engine::{self, Settings};
-use bankcove_standins::{Running, service, store};
+use bankcove_standins::{RunningStandIn, service, store};
 use bankcoved::auth::hash_key;
 use bankcoved::base::config::Config;
 use bankcoved::daemon::Daemon;
@@ -46,8 +46,8 @@
 const REQUESTS: u32 = 3;
 
 struct Demo {
-    store: Running,
-    servers: Vec<Running>,
+    store: RunningStandIn,
+    servers: Vec<RunningStandIn>,
     daemons: Vec<lifecycle::Running>,
     http: reqwest::Client,
 }
@@ -210,7 +210,7 @@
 }
 
 /// Starts the stand-ins and returns the example table with their addresses as servers.
-async fn start_servers() -> Result<(Table, Vec<Running>)> {
+async fn start_servers() -> Result<(Table, Vec<RunningStandIn>)> {
     let mut table: Table = serde_json::from_str(TABLE)
         .map_err(|e| Error::Demo(format!("examples/vaasa.json: {e}")))?;
     let mut servers = Vec::new();
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bankcove_standins::engine::Settings;
-use bankcove_standins::{Running, engine, service, store};
+use bankcove_standins::{RunningStandIn, engine, service, store};
 use serde_json::json;
 
 use crate::args::StandinCommand;
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-async fn start(command: StandinCommand) -> std::io::Result<Running> {
+async fn start(command: StandinCommand) -> std::io::Result<RunningStandIn> {
     match command {
         StandinCommand::Store { listen } => store::start(&listen).await,
         StandinCommand::Service { listen } => service::start(&listen).await,
--- a/crates/daemon/src/bill/request_log.rs
+++ b/crates/daemon/src/bill/request_log.rs
@@ -139,7 +139,7 @@
 
 /// Finds the number of the newest segment in the store.
 async fn find_newest(billing: Arc<Billing>, shard: u32) -> Event {
-    match billing.store.last_name(Kind::RequestLog(shard)).await {
+    match billing.store.greatest_name(Kind::RequestLog(shard)).await {
         Ok(name) => Event::NewestFound(name.and_then(|name| name.parse().ok())),
         Err(e) => read_failed(&billing, shard, &e),
     }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bankcove_core::router::Choice;
-use bankcove_ports::wire::Unrun;
+use bankcove_ports::wire::NotRunReason;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming as Body;
@@ -96,16 +96,16 @@
         Some(Ok(res)) => res,
     };
     call.attempts_sent += 1;
-    let head = entry.wire.read_answer(res.status(), res.headers());
+    let head = entry.wire.read_response(res.status(), res.headers());
     let is_foreign = head.id.as_ref().is_some_and(|id| *id != call.incoming.id);
     // Signals count only from this start of the server: another program, or another start, may
     // answer at its address.
-    if !is_foreign && (head.is_signed || head.unrun == Some(Unrun::Full)) {
+    if !is_foreign && (head.is_signed || head.unrun == Some(NotRunReason::Full)) {
         entry.requests.hints.observe(&call.log, &choice.start(), sent_at, &head.hints);
     }
     if let Some(unrun) = head.unrun {
         charge.record_not_run(may_have_run_before);
-        if unrun == Unrun::OtherInstance {
+        if unrun == NotRunReason::OtherInstance {
             // That start of the server is gone, even if the server list, which lags, still has it.
             let now = entry.requests.base.clock.now();
             entry.requests.router.lock().record_leaving_refusal(
@@ -139,7 +139,7 @@
 ) -> AttemptOutcome {
     let is_framed = crashes::is_framed(res.headers());
     let status = res.status();
-    let headers = call.entry.wire.answer_headers(res.headers());
+    let headers = call.entry.wire.response_headers(res.headers());
     let body = Limited::new(res.into_body(), MAX_ANSWER_BYTES).collect();
     match call.entry.requests.base.clock.timeout_at(call.deadline, body).await {
         Some(Ok(body)) => {
@@ -177,10 +177,10 @@
 }
 
 /// Returns the log text for a server that did not run the request.
-fn unrun_text(unrun: Unrun) -> &'static str {
+fn unrun_text(unrun: NotRunReason) -> &'static str {
     match unrun {
-        Unrun::Full => "the server has no room",
-        Unrun::OtherInstance => "another server has the address",
+        NotRunReason::Full => "the server has no room",
+        NotRunReason::OtherInstance => "another server has the address",
     }
 }
 
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -6,7 +6,7 @@
 use bankcove_core::crashes::Verdict;
 use bankcove_core::router::{Choice, Homes, NoServer, RoutingRequest};
 use bankcove_core::{Fingerprint, Millis, Name, Tokens};
-use bankcove_ports::wire::{Dispatch, Incoming, Prompt};
+use bankcove_ports::wire::{Dispatch, Prompt, RequestHead};
 use bytes::Bytes;
 use salvo::http::uri::PathAndQuery;
 use salvo::http::{HeaderMap, Method};
@@ -40,7 +40,7 @@
     /// Logger that adds the request's id.
     pub log: Logger,
     /// Parsed headers.
-    pub incoming: Incoming,
+    pub incoming: RequestHead,
     /// Rows of the table that apply to it.
     pub plan: Plan,
     /// Method.
@@ -245,7 +245,7 @@
             server: &choice.server,
             workspace: self.plan.workspace.as_ref(),
             copy_from: choice.copy_from.as_deref().filter(|_| self.is_worth_copying()),
-            patience: time_left.max(Duration::from_millis(1)),
+            time_left: time_left.max(Duration::from_millis(1)),
             urgency: None,
             resume_after,
         };
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -47,7 +47,7 @@
         match attempt(&mut call, &mut charge, permit, resume_after).await {
             AttemptOutcome::StreamStarted(res, open_request, choice) => {
                 let status = res.status();
-                let headers = call.entry.wire.answer_headers(res.headers());
+                let headers = call.entry.wire.response_headers(res.headers());
                 let relay = Relay::new(call, charge, res, open_request, choice);
                 return Ok(Answer::Stream(status, headers, Box::new(relay)));
             }
--- a/crates/daemon/src/entry/link_reservation.rs
+++ b/crates/daemon/src/entry/link_reservation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bankcove_core::link::Traffic;
-use bankcove_ports::wire::Incoming;
+use bankcove_ports::wire::RequestHead;
 
 use crate::entry::Entry;
 use crate::entry::plan::Plan;
@@ -35,7 +35,7 @@
     pub fn reserve(
         entry: &Arc<Entry>,
         plan: &Plan,
-        incoming: &Incoming,
+        incoming: &RequestHead,
         body_bytes: usize,
     ) -> Option<Self> {
         let expected = expected_traffic(plan, incoming, body_bytes);
@@ -69,7 +69,7 @@
 }
 
 /// Returns the traffic that a request and its answer are expected to send.
-fn expected_traffic(plan: &Plan, incoming: &Incoming, body_bytes: usize) -> Traffic {
+fn expected_traffic(plan: &Plan, incoming: &RequestHead, body_bytes: usize) -> Traffic {
     let events = incoming.prompt.as_ref().map(|prompt| {
         let max_events = prompt.output_limit.div_ceil(plan.tokens_per_event.max(1));
         max_events.div_ceil(MAX_TO_EXPECTED_EVENTS)
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -5,7 +5,7 @@
 
 use bankcove_core::table::{Budget, Route, RouteTarget, ServiceShare, Table, Workspace};
 use bankcove_core::{Name, Tokens};
-use bankcove_ports::wire::Incoming;
+use bankcove_ports::wire::RequestHead;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::auth::hash_key;
@@ -46,7 +46,7 @@
         table: &Arc<Table>,
         host: &str,
         path: &str,
-        incoming: &Incoming,
+        incoming: &RequestHead,
     ) -> Result<Self, Refusal> {
         let route = table.route_for_host(host, path).ok_or(Refusal::NoRoute)?;
         let workspace = find_workspace(table, route, incoming)?;
@@ -73,7 +73,7 @@
     }
 
     /// Returns a conservative estimate of the time that the request takes.
-    pub fn expected_time(&self, incoming: &Incoming) -> Duration {
+    pub fn expected_time(&self, incoming: &RequestHead) -> Duration {
         let time_to_start = Duration::from_millis(self.route.goal_ms * GOAL_FACTOR);
         let tokens = incoming.prompt.as_ref().map_or(0, |prompt| prompt.output_limit);
         time_to_start + TIME_PER_TOKEN * tokens.try_into().unwrap_or(u32::MAX)
@@ -90,7 +90,7 @@
 fn find_workspace<'a>(
     table: &'a Table,
     route: &Route,
-    incoming: &Incoming,
+    incoming: &RequestHead,
 ) -> Result<Option<&'a Workspace>, Refusal> {
     let has_workspaces = !table.workspaces.is_empty();
     let workspace = incoming.key.as_ref().and_then(|key| table.workspace_by_key(&hash_key(key)));
--- a/crates/daemon/src/entry/refusal.rs
+++ b/crates/daemon/src/entry/refusal.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bankcove_core::router::NoServer;
-use bankcove_ports::wire::Malformed;
+use bankcove_ports::wire::MalformedHeader;
 use salvo::http::StatusCode;
 
 /// Retry delay while this daemon stops or its link is full: another daemon can serve the request
@@ -50,7 +50,7 @@
     UnknownKey,
     /// A header can't be parsed.
     #[error(transparent)]
-    Malformed(#[from] Malformed),
+    Malformed(#[from] MalformedHeader),
     /// The body exceeds this limit in bytes, or can't be read.
     #[error("the body can't be read or is larger than {0} bytes")]
     BodyTooLarge(usize),
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -6,7 +6,7 @@
 use bankcove_core::outage;
 use bankcove_core::table::CallerLimits;
 use bankcove_core::{Millis, Name};
-use bankcove_ports::wire::Incoming;
+use bankcove_ports::wire::RequestHead;
 use salvo::affix_state;
 use salvo::http::header::{CONNECTION, HOST, HeaderValue, RETRY_AFTER};
 use salvo::http::uri::PathAndQuery;
@@ -84,7 +84,7 @@
     let requests = &entry.requests;
     let arrived_at = requests.base.clock.now();
     let path = req.uri().path().to_owned();
-    let log_refusal = |refusal: Refusal, incoming: Option<&Incoming>| {
+    let log_refusal = |refusal: Refusal, incoming: Option<&RequestHead>| {
         requests.base.metrics.count(&format!("refused.{}", refusal.code()));
         slog::info!(requests.base.log, "request refused";
             "request" => incoming.map(|incoming| incoming.id.clone()), "code" => refusal.code(),
@@ -109,7 +109,7 @@
 async fn read_call(
     entry: &Arc<Entry>,
     req: &mut Request,
-    incoming: Incoming,
+    incoming: RequestHead,
     arrived_at: Millis,
 ) -> Result<Call, Refusal> {
     let requests = &entry.requests;
@@ -131,7 +131,7 @@
     let body = read_body(table.caller_limits, &requests.base.cfg.limits, req).await?;
     let link =
         LinkReservation::reserve(entry, &plan, &incoming, body.len()).ok_or(Refusal::LinkFull)?;
-    let patience = incoming.patience.unwrap_or(Duration::MAX);
+    let patience = incoming.timeout.unwrap_or(Duration::MAX);
     let route_deadline = Duration::from_millis(plan.route.deadline_ms);
     Ok(Call {
         entry: Arc::clone(entry),
--- a/crates/daemon/src/view/table_sync.rs
+++ b/crates/daemon/src/view/table_sync.rs
@@ -77,8 +77,8 @@
                 let was_current = view.fleet.is_current();
                 view.fleet.connectivity.record_table_read(view.fleet.watch_answer_time(asked_at));
                 view.fleet.announce_if_current_again(was_current);
-                let is_missing = watched.at == 0 && watched.changed.is_none();
-                at = watched.at;
+                let is_missing = watched.version == 0 && watched.changed.is_none();
+                at = watched.version;
                 if let Some(read) = watched.changed {
                     adopt(&view, read.value);
                 } else if is_missing {
@@ -90,7 +90,7 @@
                 at = 0;
             }
             Err(e) => {
-                if let bankcove_ports::Error::Value { name, problem, .. } = &e {
+                if let bankcove_ports::Error::InvalidValue { name, problem, .. } = &e {
                     let entry = Unreadable {
                         name: Some(Name::from(name.as_str())),
                         problem: problem.clone(),
--- a/crates/ports/src/calls.rs
+++ b/crates/ports/src/calls.rs
@@ -62,7 +62,7 @@
 
 /// Calls since the start, by purpose.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounters {
     counts: [AtomicU64; PURPOSES.len()],
 }
 
@@ -75,7 +75,7 @@
     pub calls: u64,
 }
 
-impl Calls {
+impl CallCounters {
     pub(crate) fn count(&self, purpose: Purpose) {
         let place = PURPOSES.iter().position(|(known, _)| *known == purpose);
         if let Some(count) = place.and_then(|place| self.counts.get(place)) {
--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -14,7 +14,7 @@
 
 use crate::error::{Error, Result};
 use crate::objects::{Kind, Version, Versioned, WriteOutcome};
-use crate::store::{StoreApi, Watched};
+use crate::store::{StoreApi, WatchResult};
 
 /// Longest wait for the answer to a read or a write.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -71,7 +71,7 @@
 
     async fn read_object(&self, kind: Kind, name: &str) -> Result<Option<Versioned<Value>>> {
         let req = self.http.get(self.object_url(kind, name)).timeout(CALL_TIMEOUT);
-        let res = req.send().await.map_err(|e| self.away(&e))?;
+        let res = req.send().await.map_err(|e| self.unavailable(&e))?;
         self.object(res).await
     }
 
@@ -81,17 +81,17 @@
         name: &str,
         after: Version,
         wait: Duration,
-    ) -> Result<Watched<Value>> {
+    ) -> Result<WatchResult<Value>> {
         let url = format!("http://{}/v1/watch/{}/{name}", self.address, kind.path());
         let millis = wait.as_millis() as u64;
         let req = self.http.get(url).query(&[("after", after), ("timeout_ms", millis)]);
-        let res = req.timeout(wait + WATCH_GRACE).send().await.map_err(|e| self.away(&e))?;
+        let res = req.timeout(wait + WATCH_GRACE).send().await.map_err(|e| self.unavailable(&e))?;
         if res.status() == StatusCode::NO_CONTENT {
-            return Ok(Watched { at: after, changed: None });
+            return Ok(WatchResult { version: after, changed: None });
         }
         let changed = self.object(res).await?;
-        let at = changed.as_ref().map_or(after, |read| read.version);
-        Ok(Watched { at, changed })
+        let version = changed.as_ref().map_or(after, |read| read.version);
+        Ok(WatchResult { version, changed })
     }
 
     async fn write_object(
@@ -117,7 +117,7 @@
         }
     }
 
-    async fn greatest_name(&self, kind: Kind) -> Result<Option<String>> {
+    async fn read_greatest_name(&self, kind: Kind) -> Result<Option<String>> {
         let url = format!("http://{}/v1/objects/{}", self.address, kind.path());
         let req = self.http.get(url).query(&[("order", "descending"), ("limit", "1")]);
         let page: ListPage = self.json(req).await?;
@@ -131,17 +131,17 @@
     }
 
     async fn json<T: DeserializeOwned>(&self, req: reqwest::RequestBuilder) -> Result<T> {
-        let res = req.timeout(CALL_TIMEOUT).send().await.map_err(|e| self.away(&e))?;
-        let res = res.error_for_status().map_err(|e| self.away(&e))?;
-        res.json().await.map_err(|e| self.away(&e))
+        let res = req.timeout(CALL_TIMEOUT).send().await.map_err(|e| self.unavailable(&e))?;
+        let res = res.error_for_status().map_err(|e| self.unavailable(&e))?;
+        res.json().await.map_err(|e| self.unavailable(&e))
     }
 
     async fn object(&self, res: Response) -> Result<Option<Versioned<Value>>> {
         if res.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let res = res.error_for_status().map_err(|e| self.away(&e))?;
-        let answer: ReadAnswer = res.json().await.map_err(|e| self.away(&e))?;
+        let res = res.error_for_status().map_err(|e| self.unavailable(&e))?;
+        let answer: ReadAnswer = res.json().await.map_err(|e| self.unavailable(&e))?;
         Ok(Some(Versioned { version: answer.version, value: answer.value }))
     }
 
@@ -149,8 +149,8 @@
         format!("http://{}/v1/objects/{}/{name}", self.address, kind.path())
     }
 
-    fn away(&self, e: &reqwest::Error) -> Error {
-        Error::Away { address: self.address.clone(), problem: e.to_string() }
+    fn unavailable(&self, e: &reqwest::Error) -> Error {
+        Error::Unavailable { address: self.address.clone(), problem: e.to_string() }
     }
 }
 
@@ -169,7 +169,7 @@
         name: &'a str,
         after: Version,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<Watched<Value>>> {
+    ) -> BoxFuture<'a, Result<WatchResult<Value>>> {
         self.watch_object(kind, name, after, wait).boxed()
     }
 
@@ -183,8 +183,8 @@
         self.write_object(kind, name, expect, value).boxed()
     }
 
-    fn last_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>> {
-        self.greatest_name(kind).boxed()
+    fn greatest_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>> {
+        self.read_greatest_name(kind).boxed()
     }
 
     fn hosts(&self) -> BoxFuture<'_, Result<Hosts>> {
--- a/crates/ports/src/error.rs
+++ b/crates/ports/src/error.rs
@@ -5,7 +5,7 @@
 pub enum Error {
     /// The API does not answer, or says that it can't now.
     #[error("the object API at {address} does not answer: {problem}")]
-    Away {
+    Unavailable {
         /// Address of the API.
         address: String,
         /// What was seen.
@@ -19,7 +19,7 @@
     },
     /// The stored value is not what was expected there.
     #[error("object {kind}/{name} can't be read: {problem}")]
-    Value {
+    InvalidValue {
         /// Kind of the object.
         kind: String,
         /// The object's name.
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -17,4 +17,4 @@
 pub use client::{Client, ListPage};
 pub use error::{Error, Result};
 pub use objects::{Kind, Version, Versioned, WriteOutcome, segment_name};
-pub use store::{Store, StoreApi, Watched};
+pub use store::{Store, StoreApi, WatchResult};
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -16,15 +16,15 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::calls::{Calls, Purpose};
+use crate::calls::{CallCounters, Purpose};
 use crate::error::{Error, Result};
 use crate::objects::{Kind, Version, Versioned, WriteOutcome};
 
 /// What a watch brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Watched<T> {
+pub struct WatchResult<T> {
     /// Where the next watch goes on from.
-    pub at: Version,
+    pub version: Version,
     /// The object as it is now, if it has changed.
     pub changed: Option<Versioned<T>>,
 }
@@ -49,7 +49,7 @@
         name: &'a str,
         after: Version,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<Watched<Value>>>;
+    ) -> BoxFuture<'a, Result<WatchResult<Value>>>;
 
     /// Writes an object if it is at the version `expect`; 0 creates it.
     fn write<'a>(
@@ -61,7 +61,7 @@
     ) -> BoxFuture<'a, WriteOutcome>;
 
     /// The greatest name of a kind, if there is any.
-    fn last_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>>;
+    fn greatest_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>>;
 
     /// The hosts that run daemons, and those backend servers that are listed
     /// as hosts.
@@ -96,7 +96,7 @@
 #[derive(Clone)]
 pub struct Store {
     api: Arc<dyn StoreApi>,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounters>,
 }
 
 impl Store {
@@ -106,23 +106,23 @@
     }
 
     /// Calls made so far.
-    pub fn calls(&self) -> &Calls {
+    pub fn calls(&self) -> &CallCounters {
         &self.calls
     }
 
     /// The greatest name of a kind, if there is any.
     ///
     /// # Errors
-    /// [`Error::Away`].
-    pub async fn last_name(&self, kind: Kind) -> Result<Option<String>> {
+    /// [`Error::Unavailable`].
+    pub async fn greatest_name(&self, kind: Kind) -> Result<Option<String>> {
         self.calls.count(Purpose::of_read(kind));
-        self.api.last_name(kind).await
+        self.api.greatest_name(kind).await
     }
 
     /// The hosts that run daemons, as [`StoreApi::hosts`] tells them.
     ///
     /// # Errors
-    /// [`Error::Away`] or [`Error::Value`].
+    /// [`Error::Unavailable`] or [`Error::InvalidValue`].
     pub async fn hosts(&self) -> Result<Hosts> {
         self.calls.count(Purpose::Hosts);
         self.api.hosts().await
@@ -131,7 +131,7 @@
     /// Puts this daemon's host on the list, as [`StoreApi::announce`] does.
     ///
     /// # Errors
-    /// [`Error::Away`].
+    /// [`Error::Unavailable`].
     pub async fn announce(&self, host: &Host) -> Result<()> {
         self.calls.count(Purpose::Announce);
         self.api.announce(host).await
@@ -140,7 +140,7 @@
     /// Takes this daemon's host off the list, as [`StoreApi::withdraw`] does.
     ///
     /// # Errors
-    /// [`Error::Away`].
+    /// [`Error::Unavailable`].
     pub async fn withdraw(&self, host: &Host) -> Result<()> {
         self.calls.count(Purpose::Announce);
         self.api.withdraw(host).await
@@ -150,7 +150,7 @@
     /// [`StoreApi::watch_servers`] does.
     ///
     /// # Errors
-    /// [`Error::Away`] or [`Error::HistoryGone`].
+    /// [`Error::Unavailable`] or [`Error::HistoryGone`].
     pub async fn watch_servers(
         &self,
         after: Version,
@@ -164,7 +164,7 @@
     /// [`StoreApi::watch_halls`] does.
     ///
     /// # Errors
-    /// [`Error::Away`] or [`Error::HistoryGone`].
+    /// [`Error::Unavailable`] or [`Error::HistoryGone`].
     pub async fn watch_halls(&self, after: Version, wait: Duration) -> Result<Option<HallChanges>> {
         self.calls.count(Purpose::Halls);
         self.api.watch_halls(after, wait).await
@@ -173,7 +173,7 @@
     /// Reads an object; none when there is no such object.
     ///
     /// # Errors
-    /// [`Error::Away`] or [`Error::Value`].
+    /// [`Error::Unavailable`] or [`Error::InvalidValue`].
     pub async fn read<T: DeserializeOwned>(
         &self,
         kind: Kind,
@@ -187,18 +187,18 @@
     /// Waits for a change of an object, as [`StoreApi::watch`] does.
     ///
     /// # Errors
-    /// [`Error::Away`], [`Error::Value`] or [`Error::HistoryGone`].
+    /// [`Error::Unavailable`], [`Error::InvalidValue`] or [`Error::HistoryGone`].
     pub async fn watch<T: DeserializeOwned>(
         &self,
         kind: Kind,
         name: &str,
         after: Version,
         wait: Duration,
-    ) -> Result<Watched<T>> {
+    ) -> Result<WatchResult<T>> {
         self.calls.count(Purpose::of_read(kind));
         let watched = self.api.watch(kind, name, after, wait).await?;
         let changed = watched.changed.map(|read| typed(kind, name, read)).transpose()?;
-        Ok(Watched { at: watched.at, changed })
+        Ok(WatchResult { version: watched.version, changed })
     }
 
     /// Writes an object if it is at the version `expect`; 0 creates it.
@@ -228,7 +228,7 @@
     name: &str,
     read: Versioned<Value>,
 ) -> Result<Versioned<T>> {
-    let value = serde_path_to_error::deserialize(read.value).map_err(|e| Error::Value {
+    let value = serde_path_to_error::deserialize(read.value).map_err(|e| Error::InvalidValue {
         kind: kind.path(),
         name: name.to_owned(),
         problem: e.to_string(),
--- a/crates/ports/src/wire.rs
+++ b/crates/ports/src/wire.rs
@@ -37,13 +37,13 @@
 
 /// What a caller's request says in its headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Incoming {
+pub struct RequestHead {
     /// Names the attempt of the caller; each attempt has a name of its own.
     pub id: String,
     /// The key that the caller shows.
     pub key: Option<String>,
     /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The prompt, of a request for a model.
     pub prompt: Option<Prompt>,
     /// The last event of a broken stream that the caller goes on with.
@@ -53,7 +53,7 @@
 /// A header that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header '{header}' {problem}")]
-pub struct Malformed {
+pub struct MalformedHeader {
     /// The header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -71,7 +71,7 @@
     /// its memory spares reading them.
     pub copy_from: Option<&'a str>,
     /// Time left for the answer.
-    pub patience: Duration,
+    pub time_left: Duration,
     /// Urgency, 0 first.
     pub urgency: Option<u8>,
     /// The last event that the caller has, when a stream goes on.
@@ -80,7 +80,7 @@
 
 /// Why a backend server did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unrun {
+pub enum NotRunReason {
     /// It has no room, or no time left for the request.
     Full,
     /// Another start, or another server, has the address.
@@ -89,11 +89,11 @@
 
 /// The head of a backend server's answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that it answers, as the server says.
     pub id: Option<String>,
     /// Proof that nothing ran.
-    pub unrun: Option<Unrun>,
+    pub unrun: Option<NotRunReason>,
     /// Whether the server's mark on answers that it made itself is there.
     pub is_signed: bool,
     /// Whether the body is encoded, which no caller has asked for.
@@ -107,8 +107,8 @@
     /// Reads what a caller's request says.
     ///
     /// # Errors
-    /// [`Malformed`] names the header that can't be read.
-    fn read_request(&self, headers: &HeaderMap) -> Result<Incoming, Malformed>;
+    /// [`MalformedHeader`] names the header that can't be read.
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, MalformedHeader>;
 
     /// Headers for a backend server: the caller's, but for those that concern
     /// one connection and those that are the system's to set.
@@ -116,10 +116,10 @@
 
     /// Headers for the caller: the server's, but for those that concern one
     /// connection.
-    fn answer_headers(&self, server: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, server: &HeaderMap) -> HeaderMap;
 
     /// Reads the head of a server's answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// Path by which the platform asks whether this daemon takes connections.
     fn ready_path(&self) -> &'static str;
--- a/crates/proofs/src/caller.rs
+++ b/crates/proofs/src/caller.rs
@@ -4,14 +4,14 @@
 
 use serde_json::{Value, json};
 
-use crate::table::{KEY, MODEL};
+use crate::table::{API_KEY, MODEL};
 
 /// What ends a stream.
 const END_MARK: &[u8] = b"data: [DONE]\n\n";
 
 /// What became of one attempt, as its caller saw it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
+pub enum AttemptOutcome {
     /// The whole answer.
     Done {
         /// The text.
@@ -43,12 +43,12 @@
     /// The run that the answer came from.
     pub run: Option<String>,
     /// What the caller was told.
-    pub told: Told,
+    pub outcome: AttemptOutcome,
 }
 
 /// A chat request.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ChatRequest {
     /// The idempotency key.
     pub key: String,
     /// The prompt.
@@ -58,22 +58,22 @@
     /// Whether to ask for a stream.
     pub stream: bool,
     /// Whether it may run only once.
-    pub once: bool,
+    pub non_repeatable: bool,
     /// How long the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
-impl Ask {
+impl ChatRequest {
     /// A streamed request with this key.
     pub fn new(key: impl Into<String>) -> Self {
         let key = key.into();
-        Ask {
+        ChatRequest {
             prompt: format!("summarise shift {key}"),
             key,
             max_tokens: 8,
             stream: true,
-            once: false,
-            patience: Duration::from_secs(20),
+            non_repeatable: false,
+            timeout: Duration::from_secs(20),
         }
     }
 
@@ -86,22 +86,22 @@
 
     /// Asks for the whole answer at once.
     #[must_use]
-    pub fn whole(mut self) -> Self {
+    pub fn unstreamed(mut self) -> Self {
         self.stream = false;
         self
     }
 
     /// Marks the request as not repeatable.
     #[must_use]
-    pub fn once(mut self) -> Self {
-        self.once = true;
+    pub fn non_repeatable(mut self) -> Self {
+        self.non_repeatable = true;
         self
     }
 
     /// Waits this long for the whole answer.
     #[must_use]
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 }
@@ -121,64 +121,68 @@
 
 impl Caller {
     /// Sends a chat request to the daemon at this address.
-    pub async fn ask(&self, daemon: &str, ask: &Ask) -> Attempt {
+    pub async fn chat(&self, daemon: &str, request: &ChatRequest) -> Attempt {
         let mut body = json!({
-            "model": MODEL, "max_tokens": ask.max_tokens, "stream": ask.stream,
-            "messages": [{"role": "user", "content": ask.prompt}],
+            "model": MODEL, "max_tokens": request.max_tokens, "stream": request.stream,
+            "messages": [{"role": "user", "content": request.prompt}],
         });
-        if ask.stream {
+        if request.stream {
             body["stream_options"] = json!({"include_usage": true});
         }
         let mut req = self
             .http
             .post(format!("http://{daemon}/v1/chat/completions"))
-            .bearer_auth(KEY)
-            .header("idempotency-key", &ask.key)
-            .timeout(ask.patience)
+            .bearer_auth(API_KEY)
+            .header("idempotency-key", &request.key)
+            .timeout(request.timeout)
             .json(&body);
-        if ask.once {
+        if request.non_repeatable {
             req = req.header("x-bankcove-repeatable", "false");
         }
-        let mut attempt =
-            Attempt { key: ask.key.clone(), attempt: None, run: None, told: lost("no answer") };
+        let mut attempt = Attempt {
+            key: request.key.clone(),
+            attempt: None,
+            run: None,
+            outcome: unknown_outcome("no answer"),
+        };
         let res = match req.send().await {
             Ok(res) => res,
             Err(e) if e.is_connect() => {
-                attempt.told = not_run("connection_refused", None);
+                attempt.outcome = not_run("connection_refused", None);
                 return attempt;
             }
             Err(_) => return attempt,
         };
-        attempt.attempt = attempt_of(&res);
+        attempt.attempt = attempt_header(&res);
         let is_ok = res.status().is_success();
         let Some(body) = read_body(res).await else {
-            attempt.told = lost("broken off");
+            attempt.outcome = unknown_outcome("broken off");
             return attempt;
         };
-        let (told, run) = if !is_ok {
-            (read_problem(&serde_json::from_str(&body).unwrap_or_default()), None)
-        } else if ask.stream {
+        let (outcome, run) = if !is_ok {
+            (parse_error_body(&serde_json::from_str(&body).unwrap_or_default()), None)
+        } else if request.stream {
             read_stream(&body)
         } else {
             read_whole(&serde_json::from_str(&body).unwrap_or_default())
         };
-        attempt.told = told;
+        attempt.outcome = outcome;
         attempt.run = run;
         attempt
     }
 
     /// Sends the same request to daemons in turn until it is done, or `tries`
     /// are used up.
-    pub async fn ask_until_done(
+    pub async fn chat_until_done(
         &self,
         daemons: &[String],
-        ask: &Ask,
+        request: &ChatRequest,
         tries: usize,
     ) -> Vec<Attempt> {
         let mut attempts = Vec::new();
         for n in 0..tries {
-            let attempt = self.ask(&daemons[n % daemons.len()], ask).await;
-            let done = matches!(attempt.told, Told::Done { .. });
+            let attempt = self.chat(&daemons[n % daemons.len()], request).await;
+            let done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
             attempts.push(attempt);
             if done {
                 break;
@@ -195,14 +199,14 @@
         path: &str,
         key: &str,
         body: &str,
-        patience: Duration,
-    ) -> Option<Posted> {
-        let req = self.http.post(format!("http://{daemon}{path}")).bearer_auth(KEY);
-        let req = req.header("idempotency-key", key).timeout(patience).body(body.to_owned());
+        timeout: Duration,
+    ) -> Option<ServiceResponse> {
+        let req = self.http.post(format!("http://{daemon}{path}")).bearer_auth(API_KEY);
+        let req = req.header("idempotency-key", key).timeout(timeout).body(body.to_owned());
         let res = req.send().await.ok()?;
         let status = res.status().as_u16();
-        let attempt = attempt_of(&res);
-        Some(Posted { status, attempt, body: res.json().await.ok()? })
+        let attempt = attempt_header(&res);
+        Some(ServiceResponse { status, attempt, body: res.json().await.ok()? })
     }
 }
 
@@ -221,7 +225,7 @@
 
 /// The answer to a call of a plain service.
 #[derive(Debug, Clone)]
-pub struct Posted {
+pub struct ServiceResponse {
     /// The status.
     pub status: u16,
     /// The daemon's name for the attempt.
@@ -230,59 +234,59 @@
     pub body: Value,
 }
 
-fn attempt_of(res: &reqwest::Response) -> Option<String> {
+fn attempt_header(res: &reqwest::Response) -> Option<String> {
     let header = res.headers().get("x-bankcove-attempt");
     header.and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-fn lost(code: &str) -> Told {
-    Told::Unknown { code: code.to_owned() }
+fn unknown_outcome(code: &str) -> AttemptOutcome {
+    AttemptOutcome::Unknown { code: code.to_owned() }
 }
 
-fn not_run(code: &str, retry_after_ms: Option<u64>) -> Told {
-    Told::NotRun { code: code.to_owned(), retry_after_ms }
+fn not_run(code: &str, retry_after_ms: Option<u64>) -> AttemptOutcome {
+    AttemptOutcome::NotRun { code: code.to_owned(), retry_after_ms }
 }
 
 /// Reads what an error body tells.
-pub fn read_problem(body: &Value) -> Told {
+pub fn parse_error_body(body: &Value) -> AttemptOutcome {
     let error = &body["error"];
     let code = error["code"].as_str().unwrap_or("unreadable");
     match error["outcome"].as_str() {
         Some("not_run") => not_run(code, error["retry_after_ms"].as_u64()),
-        _ => lost(code),
+        _ => unknown_outcome(code),
     }
 }
 
-fn read_whole(body: &Value) -> (Told, Option<String>) {
+fn read_whole(body: &Value) -> (AttemptOutcome, Option<String>) {
     let run = body["id"].as_str().map(str::to_owned);
     let text = body["choices"][0]["message"]["content"].as_str();
     let tokens = body["usage"]["completion_tokens"].as_u64();
     match (text, tokens) {
         (Some(text), Some(output_tokens)) => {
-            (Told::Done { text: text.to_owned(), output_tokens }, run)
+            (AttemptOutcome::Done { text: text.to_owned(), output_tokens }, run)
         }
-        _ => (lost("unreadable"), run),
+        _ => (unknown_outcome("unreadable"), run),
     }
 }
 
-fn read_stream(body: &str) -> (Told, Option<String>) {
+fn read_stream(body: &str) -> (AttemptOutcome, Option<String>) {
     let mut text = String::new();
     let mut run = None;
     let mut tokens = None;
     for data in body.lines().filter_map(|line| line.strip_prefix("data:")).map(str::trim) {
         if data == "[DONE]" {
             return match tokens {
-                Some(output_tokens) => (Told::Done { text, output_tokens }, run),
-                None => (lost("no usage"), run),
+                Some(output_tokens) => (AttemptOutcome::Done { text, output_tokens }, run),
+                None => (unknown_outcome("no usage"), run),
             };
         }
         let piece: Value = serde_json::from_str(data).unwrap_or_default();
         if piece["error"].is_object() {
-            return (read_problem(&piece), run);
+            return (parse_error_body(&piece), run);
         }
         run = piece["id"].as_str().map(str::to_owned).or(run);
         text += piece["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
         tokens = piece["usage"]["completion_tokens"].as_u64().or(tokens);
     }
-    (lost("no end mark"), run)
+    (unknown_outcome("no end mark"), run)
 }
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -8,13 +8,13 @@
 use bankcove_standins::engine::{RunRecord, token_text};
 use bankcove_standins::service::CallRecord;
 
-use crate::caller::{Attempt, Told};
+use crate::caller::{Attempt, AttemptOutcome};
 
 /// A promise that a history breaks.
 pub type Violation = String;
 
 /// No grant exceeds what its budget allowed, in any version of any shard.
-pub fn grants_within(shards: &[Shard]) -> Result<usize, Violation> {
+pub fn grants_within_budgets(shards: &[Shard]) -> Result<usize, Violation> {
     for shard in shards {
         for (name, ledger) in &shard.budgets {
             if ledger.committed() > ledger.total() as i64 {
@@ -28,7 +28,11 @@
 
 /// Tokens that ran at the engines and in calls never exceed the budget. The
 /// sum only grows, so its end stands for every moment before.
-pub fn spend_within(runs: &[RunRecord], call_tokens: u64, budget: u64) -> Result<u64, Violation> {
+pub fn spend_within_budget(
+    runs: &[RunRecord],
+    call_tokens: u64,
+    budget: u64,
+) -> Result<u64, Violation> {
     let ran: u64 = runs.iter().map(|run| run.prompt_tokens + run.output_tokens).sum();
     let spent = ran + call_tokens;
     if spent > budget {
@@ -66,7 +70,7 @@
         return Err(format!("{n} bills stand for {request}"));
     }
     for attempt in attempts {
-        let done = matches!(attempt.told, Told::Done { .. });
+        let done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
         if done && !count.contains_key(&request_of(&attempt.key)) {
             return Err(format!("'{}' was answered and has no bill", attempt.key));
         }
@@ -75,10 +79,10 @@
 }
 
 /// Every whole answer is that of its own run, from the first token to the last.
-pub fn whole_answers(attempts: &[Attempt]) -> Result<usize, Violation> {
-    let mut whole = 0;
+pub fn complete_answers(attempts: &[Attempt]) -> Result<usize, Violation> {
+    let mut complete = 0;
     for attempt in attempts {
-        let Told::Done { text, output_tokens } = &attempt.told else { continue };
+        let AttemptOutcome::Done { text, output_tokens } = &attempt.outcome else { continue };
         let Some(run) = &attempt.run else {
             return Err(format!("'{}' has an answer without a run", attempt.key));
         };
@@ -86,13 +90,13 @@
         if *text != expected {
             return Err(format!("'{}' got '{text}' in place of '{expected}'", attempt.key));
         }
-        whole += 1;
+        complete += 1;
     }
-    Ok(whole)
+    Ok(complete)
 }
 
 /// No attempt that was told "not run" stands in the history of any server.
-pub fn not_run_is_true(
+pub fn not_run_never_executed(
     attempts: &[Attempt],
     runs: &[RunRecord],
     calls: &[CallRecord],
@@ -103,19 +107,19 @@
         .chain(calls.iter().map(|call| &call.attempt))
         .map(String::as_str)
         .collect();
-    let mut told = 0;
+    let mut not_run_count = 0;
     for attempt in attempts {
-        let Told::NotRun { code, .. } = &attempt.told else { continue };
-        told += 1;
+        let AttemptOutcome::NotRun { code, .. } = &attempt.outcome else { continue };
+        not_run_count += 1;
         if attempt.attempt.as_deref().is_some_and(|id| ran.contains(id)) {
             return Err(format!("'{}' was told not run ({code}) and ran", attempt.key));
         }
     }
-    Ok(told)
+    Ok(not_run_count)
 }
 
 /// Requests that were claimed, by the text of their hash.
-pub fn claimed(segments: &[Segment]) -> HashSet<String> {
+pub fn claimed_requests(segments: &[Segment]) -> HashSet<String> {
     let entries = segments.iter().flat_map(|segment| &segment.entries);
     let claims = entries.filter_map(|entry| match entry {
         Entry::Claim { request, .. } => Some(request.to_string()),
@@ -136,7 +140,7 @@
 }
 
 /// Revisions in the order that a daemon adopted them never fall.
-pub fn revisions_rise(log: &str) -> Result<usize, Violation> {
+pub fn revisions_increase(log: &str) -> Result<usize, Violation> {
     let lines = log.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
     let mut last = 0;
     let mut count = 0;
--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -11,35 +11,35 @@
 use bankcove_standins::engine::RunRecord;
 use bankcove_standins::faults::Faults;
 use bankcove_standins::service::CallRecord;
-use bankcove_standins::store::Counts;
+use bankcove_standins::store::CallCounts;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use crate::process::{Addresses, Process, binary};
+use crate::process::{LoopbackAddresses, Process, binary};
 use crate::relay::Relay;
 use crate::table;
 
 /// The operators' token of every proof.
-pub const TOKEN: &str = "token-of-the-proof";
+pub const OPERATOR_TOKEN: &str = "token-of-the-proof";
 
 /// Longest wait for something that has to come true.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two looks.
 const POLL: Duration = Duration::from_millis(50);
 
 /// Lines of each daemon's log that a failed proof shows: some two seconds of them.
-const LAST_LINES: usize = 100;
+const LOG_TAIL_LINES: usize = 100;
 
 /// A daemon process and the links to and from it.
 pub struct DaemonProcess {
     /// The process.
     pub process: Process,
     /// Where callers connect.
-    pub callers: String,
+    pub caller_address: String,
     /// Where operators connect.
-    pub operators: String,
+    pub operator_address: String,
     /// The link from peers to it.
     pub peer_link: Relay,
     /// Its link to the store.
@@ -65,7 +65,7 @@
     }
 
     /// Sets its faults.
-    pub async fn faults(&self, faults: Faults) {
+    pub async fn set_faults(&self, faults: Faults) {
         put(&self.address.to_string(), "faults", &faults).await;
     }
 
@@ -77,7 +77,7 @@
 
 /// What a fleet is made of.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     /// Daemons.
     pub daemons: usize,
     /// Engines.
@@ -96,9 +96,9 @@
     pub limits: Value,
 }
 
-impl Default for Plan {
+impl Default for FleetConfig {
     fn default() -> Self {
-        Plan {
+        FleetConfig {
             daemons: 1,
             engines: 1,
             services: 0,
@@ -129,36 +129,36 @@
     pub table: Value,
     dir: TempDir,
     limits: Value,
-    addresses: Addresses,
+    addresses: LoopbackAddresses,
 }
 
 impl Fleet {
     /// Starts everything and waits until every daemon serves.
-    pub async fn start(plan: &Plan) -> Self {
-        Fleet::start_with(plan, |_| {}).await
+    pub async fn start(config: &FleetConfig) -> Self {
+        Fleet::start_with(config, |_| {}).await
     }
 
     /// Starts everything with a table that was changed first.
-    pub async fn start_with(plan: &Plan, change: impl FnOnce(&mut Value)) -> Self {
+    pub async fn start_with(config: &FleetConfig, change: impl FnOnce(&mut Value)) -> Self {
         let store = StandIn::start(&["store"]);
-        let step = plan.step_ms.to_string();
+        let step = config.step_ms.to_string();
         let mut engine_args = vec!["engine", "--step-ms", &step];
-        if plan.ignores_orders {
+        if config.ignores_orders {
             engine_args.push("--ignores-orders");
         }
-        if let Some(text) = plan.crash_on {
+        if let Some(text) = config.crash_on {
             engine_args.extend(["--crash-on", text]);
         }
         let engines: Vec<StandIn> =
-            (0..plan.engines).map(|_| StandIn::start(&engine_args)).collect();
+            (0..config.engines).map(|_| StandIn::start(&engine_args)).collect();
         let services: Vec<StandIn> =
-            (0..plan.services).map(|_| StandIn::start(&["service"])).collect();
+            (0..config.services).map(|_| StandIn::start(&["service"])).collect();
         let addresses =
             |list: &[StandIn]| list.iter().map(|s| s.address.to_string()).collect::<Vec<_>>();
-        let mut table = table::table(&addresses(&engines), &addresses(&services), plan.tokens);
+        let mut table = table::table(&addresses(&engines), &addresses(&services), config.tokens);
         change(&mut table);
         let dir = tempfile::tempdir().expect("a temporary folder can be made");
-        let limits = plan.limits.clone();
+        let limits = config.limits.clone();
         let mut fleet = Fleet {
             store,
             engines,
@@ -167,12 +167,12 @@
             table,
             dir,
             limits,
-            addresses: Addresses::new(),
+            addresses: LoopbackAddresses::new(),
         };
-        for n in 0..plan.daemons {
+        for n in 0..config.daemons {
             fleet.add_daemon(&format!("entry-{n}")).await;
         }
-        fleet.list_hosts().await;
+        fleet.publish_hosts().await;
         fleet.apply_table().await;
         fleet.wait_until_ready().await;
         fleet
@@ -183,13 +183,13 @@
         let peer_listen = self.addresses.next_address();
         let peer_link = Relay::start(peer_listen.clone()).await;
         let store_link = Relay::start(self.store.address.to_string()).await;
-        let callers = self.addresses.next_address();
-        let operators = self.addresses.next_address();
+        let caller_address = self.addresses.next_address();
+        let operator_address = self.addresses.next_address();
         let seeds: Vec<String> = self.daemons.iter().map(|d| d.peer_link.address()).collect();
         let config = json!({
-            "name": name, "hall": "hall-1", "caller_listen": callers, "peer_listen": peer_listen,
-            "peer_advertise": peer_link.address(), "operator_listen": operators,
-            "operator_token": TOKEN, "store": store_link.address(), "limits": self.limits,
+            "name": name, "hall": "hall-1", "caller_listen": caller_address, "peer_listen": peer_listen,
+            "peer_advertise": peer_link.address(), "operator_listen": operator_address,
+            "operator_token": OPERATOR_TOKEN, "store": store_link.address(), "limits": self.limits,
             "seed_peers": seeds,
         });
         let path = self.dir.path().join(format!("{name}.json"));
@@ -199,8 +199,8 @@
         let name = name.to_owned();
         self.daemons.push(DaemonProcess {
             process,
-            callers,
-            operators,
+            caller_address,
+            operator_address,
             peer_link,
             store_link,
             name,
@@ -217,8 +217,8 @@
     }
 
     /// Puts the daemons into the platform's host list.
-    pub async fn list_hosts(&self) {
-        self.put_hosts(&self.hosts()).await;
+    pub async fn publish_hosts(&self) {
+        self.set_hosts(&self.hosts()).await;
     }
 
     /// The host list with every daemon live.
@@ -233,7 +233,7 @@
     }
 
     /// Sets the platform's host list.
-    pub async fn put_hosts(&self, hosts: &[Host]) {
+    pub async fn set_hosts(&self, hosts: &[Host]) {
         put(&self.store.address.to_string(), "hosts", &hosts).await;
     }
 
@@ -242,31 +242,31 @@
         let path = self.dir.path().join("table.json");
         std::fs::write(&path, self.table.to_string()).expect("the table can be written");
         self.wait_until_serving(0).await;
-        let output = self.bankcove(0, &["table", "apply", &path.to_string_lossy()]);
+        let output = self.run_cli(0, &["table", "apply", &path.to_string_lossy()]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
 
     /// Runs the operators' client against a daemon.
-    pub fn bankcove(&self, daemon: usize, args: &[&str]) -> std::process::Output {
+    pub fn run_cli(&self, daemon: usize, args: &[&str]) -> std::process::Output {
         Command::new(binary("bankcove"))
             .args(args)
-            .env("BANKCOVE_SERVER", &self.daemons[daemon].operators)
-            .env("BANKCOVE_TOKEN", TOKEN)
+            .env("BANKCOVE_SERVER", &self.daemons[daemon].operator_address)
+            .env("BANKCOVE_TOKEN", OPERATOR_TOKEN)
             .output()
             .expect("the operators' client can be started")
     }
 
     /// What a daemon's operator port answers.
-    pub async fn operator(&self, daemon: usize, path: &str) -> Option<Value> {
-        let url = format!("http://{}/v1/{path}", self.daemons[daemon].operators);
-        let req = http().get(url).bearer_auth(TOKEN).timeout(Duration::from_secs(5));
+    pub async fn operator_get(&self, daemon: usize, path: &str) -> Option<Value> {
+        let url = format!("http://{}/v1/{path}", self.daemons[daemon].operator_address);
+        let req = http().get(url).bearer_auth(OPERATOR_TOKEN).timeout(Duration::from_secs(5));
         req.send().await.ok()?.error_for_status().ok()?.json().await.ok()
     }
 
     /// Waits until every daemon has the table in force and knows its peers.
     pub async fn wait_until_ready(&self) {
         let revision =
-            self.operator(0, "status").await.map_or(0, |s| s["revision"].as_u64().unwrap_or(0));
+            self.operator_get(0, "status").await.map_or(0, |s| s["revision"].as_u64().unwrap_or(0));
         for index in 0..self.daemons.len() {
             self.wait_for_status(index, |status| {
                 let peers = status["peers"].as_array().map_or(0, Vec::len);
@@ -287,14 +287,14 @@
     /// # Panics
     /// When it does not for a long time.
     pub async fn wait_for_status(&self, index: usize, wanted: impl Fn(&Value) -> bool) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let status = self.operator(index, "status").await;
+            let status = self.operator_get(index, "status").await;
             if status.as_ref().is_some_and(&wanted) {
                 return;
             }
             if tokio::time::Instant::now() >= deadline {
-                let dump = self.operator(index, "dump").await.unwrap_or_default();
+                let dump = self.operator_get(index, "dump").await.unwrap_or_default();
                 let name = &self.daemons[index].name;
                 panic!("waited in vain for {name}; last: {status:?}; dump: {dump}");
             }
@@ -307,9 +307,9 @@
     /// # Panics
     /// When it does not for a long time.
     pub async fn wait_for_blocked(&self, index: usize, count: usize) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let blocked = self.operator(index, "blocked").await;
+            let blocked = self.operator_get(index, "blocked").await;
             if blocked.as_ref().and_then(Value::as_array).is_some_and(|all| all.len() == count) {
                 return;
             }
@@ -324,7 +324,7 @@
     pub async fn live_runs(&mut self) -> Vec<RunRecord> {
         let mut runs = Vec::new();
         for engine in &mut self.engines {
-            if !engine.process.has_ended() {
+            if !engine.process.has_exited() {
                 runs.extend(engine.history::<Vec<RunRecord>>().await);
             }
         }
@@ -332,7 +332,7 @@
     }
 
     /// Every call of the plain services.
-    pub async fn calls(&self) -> Vec<CallRecord> {
+    pub async fn service_calls(&self) -> Vec<CallRecord> {
         let mut calls = Vec::new();
         for service in &self.services {
             calls.extend(service.history::<Vec<CallRecord>>().await);
@@ -341,21 +341,21 @@
     }
 
     /// Every write that the store accepted, in order.
-    pub async fn writes(&self) -> Vec<Value> {
+    pub async fn store_writes(&self) -> Vec<Value> {
         self.store.history().await
     }
 
     /// Calls that the store counted.
-    pub async fn store_counts(&self) -> Counts {
+    pub async fn store_counts(&self) -> CallCounts {
         get(&self.store.address.to_string(), "counts").await
     }
 
     /// A daemon's process and the end of its log.
-    fn last_words(&self, index: usize) -> String {
+    fn log_tail(&self, index: usize) -> String {
         let daemon = &self.daemons[index];
         let log = self.log(index);
         let lines: Vec<&str> = log.lines().collect();
-        let tail = lines[lines.len().saturating_sub(LAST_LINES)..].join("\n");
+        let tail = lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n");
         let state = daemon.process.state();
         format!("{} ({state}), {} lines of log, the last:\n{tail}", daemon.name, lines.len())
     }
@@ -396,7 +396,7 @@
             return;
         }
         for index in 0..self.daemons.len() {
-            eprintln!("{}", self.last_words(index));
+            eprintln!("{}", self.log_tail(index));
         }
     }
 }
--- a/crates/proofs/src/process.rs
+++ b/crates/proofs/src/process.rs
@@ -36,12 +36,12 @@
 /// Addresses of one fleet: a loopback number of its own, so that fleets that
 /// run at the same time never meet on a port.
 #[derive(Debug)]
-pub struct Addresses {
+pub struct LoopbackAddresses {
     ip: Ipv4Addr,
     next_port: u16,
 }
 
-impl Addresses {
+impl LoopbackAddresses {
     /// Addresses that no other fleet of this machine uses.
     pub fn new() -> Self {
         static FLEETS: AtomicU32 = AtomicU32::new(0);
@@ -51,7 +51,7 @@
         // 127.0.*.* is left to everybody else.
         let second = 1 + high % 250;
         let last = 1 + (fleet % 250) as u8;
-        Addresses { ip: Ipv4Addr::new(127, second, low, last), next_port: FIRST_PORT }
+        LoopbackAddresses { ip: Ipv4Addr::new(127, second, low, last), next_port: FIRST_PORT }
     }
 
     /// The next address.
@@ -61,9 +61,9 @@
     }
 }
 
-impl Default for Addresses {
+impl Default for LoopbackAddresses {
     fn default() -> Self {
-        Addresses::new()
+        LoopbackAddresses::new()
     }
 }
 
@@ -112,12 +112,12 @@
     }
 
     /// Stops it in its tracks.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -156,7 +156,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
--- a/crates/proofs/src/relay.rs
+++ b/crates/proofs/src/relay.rs
@@ -17,8 +17,8 @@
 
 #[derive(Debug, Default)]
 struct Cuts {
-    there: AtomicBool,
-    back: AtomicBool,
+    to_target: AtomicBool,
+    from_target: AtomicBool,
 }
 
 /// A relay; bytes that meet a cut wait, as on a network that drops packets.
@@ -49,24 +49,24 @@
 
     /// Cuts both ways.
     pub fn cut(&self) {
-        self.cut_there(true);
-        self.cut_back(true);
+        self.cut_to_target(true);
+        self.cut_from_target(true);
     }
 
     /// Mends both ways.
-    pub fn mend(&self) {
-        self.cut_there(false);
-        self.cut_back(false);
+    pub fn restore(&self) {
+        self.cut_to_target(false);
+        self.cut_from_target(false);
     }
 
     /// Cuts or mends the way to the target.
-    pub fn cut_there(&self, cut: bool) {
-        self.cuts.there.store(cut, Ordering::SeqCst);
+    pub fn cut_to_target(&self, cut: bool) {
+        self.cuts.to_target.store(cut, Ordering::SeqCst);
     }
 
     /// Cuts or mends the way back.
-    pub fn cut_back(&self, cut: bool) {
-        self.cuts.back.store(cut, Ordering::SeqCst);
+    pub fn cut_from_target(&self, cut: bool) {
+        self.cuts.from_target.store(cut, Ordering::SeqCst);
     }
 }
 
@@ -82,13 +82,13 @@
         let target = target.clone();
         let cuts = Arc::clone(&cuts);
         tokio::spawn(async move {
-            wait_for(&cuts.there).await;
+            wait_for(&cuts.to_target).await;
             let Ok(far) = TcpStream::connect(target).await else { return };
             let (near_rx, near_tx) = near.into_split();
             let (far_rx, far_tx) = far.into_split();
             let back = Arc::clone(&cuts);
-            tokio::spawn(async move { carry(near_rx, far_tx, &cuts.there).await });
-            tokio::spawn(async move { carry(far_rx, near_tx, &back.back).await });
+            tokio::spawn(async move { carry(near_rx, far_tx, &cuts.to_target).await });
+            tokio::spawn(async move { carry(far_rx, near_tx, &back.from_target).await });
         });
     }
 }
--- a/crates/proofs/src/scenario.rs
+++ b/crates/proofs/src/scenario.rs
@@ -8,28 +8,30 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::caller::{Ask, Attempt, Caller, Posted, Told, read_problem};
+use crate::caller::{
+    Attempt, AttemptOutcome, Caller, ChatRequest, ServiceResponse, parse_error_body,
+};
 use crate::check::{self, Violation};
-use crate::fleet::{Fleet, Plan, segments, shards};
+use crate::fleet::{Fleet, FleetConfig, segments, shards};
 
 /// How long the load lasts while faults come and go.
-const LOAD_TIME: Duration = Duration::from_secs(4);
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 
 /// When faults begin, and when they are mended.
-const FAULT_FROM: Duration = Duration::from_millis(800);
-const FAULT_TIME: Duration = Duration::from_millis(2_000);
+const FAULT_START: Duration = Duration::from_millis(800);
+const FAULT_DURATION: Duration = Duration::from_millis(2_000);
 
 /// Price of a call in the table of the proofs.
 const CALL_TOKENS: u64 = 5;
 
 /// How long callers wait for one attempt.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Tries of one request.
-const TRIES: usize = 6;
+const MAX_ATTEMPTS: usize = 6;
 
 /// Tokens of a top-up.
-const TOP_UP: u64 = 1_000;
+const TOP_UP_TOKENS: u64 = 1_000;
 
 /// Something that fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,9 +53,9 @@
     /// Half the writes take effect and are answered as failed.
     LostAnswers,
     /// A daemon is apart while the budget is topped up.
-    TopUpApart,
+    TopUpDuringPartition,
     /// The host list names nobody.
-    HostListWrong,
+    HostListEmpty,
     /// An engine is killed.
     EngineDead,
     /// An engine is ten times as slow.
@@ -76,8 +78,8 @@
     Fault::StoreDown,
     Fault::StoreSlow,
     Fault::LostAnswers,
-    Fault::TopUpApart,
-    Fault::HostListWrong,
+    Fault::TopUpDuringPartition,
+    Fault::HostListEmpty,
     Fault::EngineDead,
     Fault::EngineSlow,
     Fault::EngineMisdirects,
@@ -125,7 +127,7 @@
     /// Bills.
     pub bills: usize,
     /// Runs and calls that were not to be repeated.
-    pub once: usize,
+    pub non_repeatable: usize,
 }
 
 /// Runs a scenario and audits it.
@@ -133,41 +135,42 @@
 /// # Errors
 /// The first promise that was broken, and how.
 pub async fn run(scenario: &Scenario) -> Result<Report, Violation> {
-    let plan = Plan {
+    let config = FleetConfig {
         daemons: scenario.daemons,
         engines: 2,
         services: 1,
         tokens: scenario.tokens,
         step_ms: 5,
-        ..Plan::default()
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(&plan).await;
+    let mut fleet = Fleet::start(&config).await;
     let targets: Arc<Vec<String>> =
-        Arc::new(fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect());
-    let end = tokio::time::Instant::now() + LOAD_TIME;
+        Arc::new(fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect());
+    let end = tokio::time::Instant::now() + LOAD_DURATION;
     let callers = (0..scenario.callers)
-        .map(|n| tokio::spawn(call(scenario.seed, n, Arc::clone(&targets), end)));
+        .map(|n| tokio::spawn(run_caller(scenario.seed, n, Arc::clone(&targets), end)));
     let callers: Vec<_> = callers.collect();
-    tokio::time::sleep(FAULT_FROM).await;
+    tokio::time::sleep(FAULT_START).await;
     for (n, fault) in scenario.faults.iter().enumerate() {
-        begin(&mut fleet, *fault, n % scenario.daemons).await;
+        begin_fault(&mut fleet, *fault, n % scenario.daemons).await;
     }
-    tokio::time::sleep(FAULT_TIME).await;
+    tokio::time::sleep(FAULT_DURATION).await;
     for (n, fault) in scenario.faults.iter().enumerate() {
-        mend(&mut fleet, *fault, n % scenario.daemons).await;
+        end_fault(&mut fleet, *fault, n % scenario.daemons).await;
     }
     let mut attempts = Vec::new();
     for caller in callers {
         attempts.extend(caller.await.expect("callers do not panic"));
     }
-    let top_ups = scenario.faults.iter().filter(|fault| **fault == Fault::TopUpApart).count();
-    let budget = scenario.tokens + TOP_UP * top_ups as u64;
-    settle(&fleet).await;
+    let top_ups =
+        scenario.faults.iter().filter(|fault| **fault == Fault::TopUpDuringPartition).count();
+    let budget = scenario.tokens + TOP_UP_TOKENS * top_ups as u64;
+    wait_until_idle(&fleet).await;
     audit(&mut fleet, &attempts, budget).await
 }
 
 /// One caller: a request after the other, each until it is done or given up.
-async fn call(
+async fn run_caller(
     seed: u64,
     n: usize,
     targets: Arc<Vec<String>>,
@@ -185,119 +188,122 @@
         let order: Vec<String> =
             (0..targets.len()).map(|i| targets[(first + i) % targets.len()].clone()).collect();
         if kind < 0.15 {
-            attempts.extend(order_once(&caller, &order, &key).await);
+            attempts.extend(post_order_twice(&caller, &order, &key).await);
             continue;
         }
-        let mut ask = Ask::new(key).max_tokens(rng.random_range(4..40)).patience(PATIENCE);
+        let mut request =
+            ChatRequest::new(key).max_tokens(rng.random_range(4..40)).timeout(ATTEMPT_TIMEOUT);
         if kind < 0.4 {
-            ask = ask.whole();
+            request = request.unstreamed();
         }
         if kind < 0.3 {
-            ask = ask.once();
+            request = request.non_repeatable();
         }
-        attempts.extend(caller.ask_until_done(&order, &ask, TRIES).await);
+        attempts.extend(caller.chat_until_done(&order, &request, MAX_ATTEMPTS).await);
     }
     attempts
 }
 
 /// An order at the plain service, which must not be repeated; sent to two
 /// daemons at the same instant.
-async fn order_once(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
+async fn post_order_twice(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
     let body = format!("order {key}");
     let post = |daemon: &String| {
         let daemon = daemon.clone();
         let (caller, body, key) = (caller.clone(), body.clone(), key.to_owned());
-        async move { caller.post(&daemon, "/orders/new", &key, &body, PATIENCE).await }
+        async move { caller.post(&daemon, "/orders/new", &key, &body, ATTEMPT_TIMEOUT).await }
     };
     let (one, two) = tokio::join!(post(&daemons[0]), post(&daemons[1 % daemons.len()]));
-    [one, two].into_iter().map(|answer| read_order(key, answer)).collect()
+    [one, two].into_iter().map(|answer| order_attempt(key, answer)).collect()
 }
 
-fn read_order(key: &str, posted: Option<Posted>) -> Attempt {
-    let told = match &posted {
-        None => Told::Unknown { code: "no answer".to_owned() },
-        Some(Posted { status: 201, .. }) => Told::Unknown { code: "ordered".to_owned() },
-        Some(posted) => read_problem(&posted.body),
+fn order_attempt(key: &str, posted: Option<ServiceResponse>) -> Attempt {
+    let outcome = match &posted {
+        None => AttemptOutcome::Unknown { code: "no answer".to_owned() },
+        Some(ServiceResponse { status: 201, .. }) => {
+            AttemptOutcome::Unknown { code: "ordered".to_owned() }
+        }
+        Some(posted) => parse_error_body(&posted.body),
     };
     let attempt = posted.and_then(|posted| posted.attempt);
-    Attempt { key: key.to_owned(), attempt, run: None, told }
+    Attempt { key: key.to_owned(), attempt, run: None, outcome }
 }
 
-async fn begin(fleet: &mut Fleet, fault: Fault, daemon: usize) {
+async fn begin_fault(fleet: &mut Fleet, fault: Fault, daemon: usize) {
     match fault {
         Fault::KillDaemon => fleet.daemons[daemon].process.kill(),
-        Fault::FreezeDaemon => fleet.daemons[daemon].process.freeze(),
+        Fault::FreezeDaemon => fleet.daemons[daemon].process.pause(),
         Fault::CutPeers => fleet.daemons[daemon].peer_link.cut(),
         Fault::CutStore => fleet.daemons[daemon].store_link.cut(),
-        Fault::CutStoreAnswers => fleet.daemons[daemon].store_link.cut_back(true),
+        Fault::CutStoreAnswers => fleet.daemons[daemon].store_link.cut_from_target(true),
         Fault::StoreDown => {
-            fleet.store.faults(Faults { down: true, ..Faults::default() }).await;
+            fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
         }
         Fault::StoreSlow => {
-            fleet.store.faults(Faults { delay_ms: 300, ..Faults::default() }).await;
+            fleet.store.set_faults(Faults { delay_ms: 300, ..Faults::default() }).await;
         }
         Fault::LostAnswers => {
-            fleet.store.faults(Faults { lose_answers: 0.5, ..Faults::default() }).await;
+            fleet.store.set_faults(Faults { lose_answers: 0.5, ..Faults::default() }).await;
         }
-        Fault::TopUpApart => {
+        Fault::TopUpDuringPartition => {
             fleet.daemons[daemon].peer_link.cut();
             fleet.daemons[daemon].store_link.cut();
             let other = (daemon + 1) % fleet.daemons.len();
             top_up(fleet, other).await;
         }
-        Fault::HostListWrong => fleet.put_hosts(&[]).await,
+        Fault::HostListEmpty => fleet.set_hosts(&[]).await,
         Fault::EngineDead => fleet.engines[1].process.kill(),
         Fault::EngineSlow => {
-            fleet.engines[0].faults(Faults { slow_factor: 10, ..Faults::default() }).await;
+            fleet.engines[0].set_faults(Faults { slow_factor: 10, ..Faults::default() }).await;
         }
         Fault::EngineMisdirects => {
-            fleet.engines[0].faults(Faults { misdirect: true, ..Faults::default() }).await;
+            fleet.engines[0].set_faults(Faults { misdirect: true, ..Faults::default() }).await;
         }
         Fault::EngineRepeatsAndCuts => {
             let faults = Faults { repeat: true, cut_after: 3, ..Faults::default() };
-            fleet.engines[0].faults(faults).await;
+            fleet.engines[0].set_faults(faults).await;
         }
         Fault::PlannedStop => fleet.daemons[daemon].process.terminate(),
     }
 }
 
-async fn mend(fleet: &mut Fleet, fault: Fault, daemon: usize) {
+async fn end_fault(fleet: &mut Fleet, fault: Fault, daemon: usize) {
     match fault {
         Fault::KillDaemon => fleet.restart_daemon(daemon).await,
         Fault::PlannedStop => {
             assert!(fleet.daemons[daemon].process.wait(), "a planned stop ends well");
             fleet.restart_daemon(daemon).await;
         }
-        Fault::FreezeDaemon => fleet.daemons[daemon].process.thaw(),
-        Fault::CutPeers => fleet.daemons[daemon].peer_link.mend(),
-        Fault::CutStore | Fault::CutStoreAnswers => fleet.daemons[daemon].store_link.mend(),
+        Fault::FreezeDaemon => fleet.daemons[daemon].process.resume(),
+        Fault::CutPeers => fleet.daemons[daemon].peer_link.restore(),
+        Fault::CutStore | Fault::CutStoreAnswers => fleet.daemons[daemon].store_link.restore(),
         Fault::StoreDown | Fault::StoreSlow | Fault::LostAnswers => {
-            fleet.store.faults(Faults::default()).await;
+            fleet.store.set_faults(Faults::default()).await;
         }
-        Fault::TopUpApart => {
-            fleet.daemons[daemon].peer_link.mend();
-            fleet.daemons[daemon].store_link.mend();
+        Fault::TopUpDuringPartition => {
+            fleet.daemons[daemon].peer_link.restore();
+            fleet.daemons[daemon].store_link.restore();
         }
-        Fault::HostListWrong => fleet.list_hosts().await,
+        Fault::HostListEmpty => fleet.publish_hosts().await,
         Fault::EngineDead => {}
         Fault::EngineSlow | Fault::EngineMisdirects | Fault::EngineRepeatsAndCuts => {
-            fleet.engines[0].faults(Faults::default()).await;
+            fleet.engines[0].set_faults(Faults::default()).await;
         }
     }
 }
 
 /// Tops up with one identity, as often as it takes to know that it counts.
 async fn top_up(fleet: &Fleet, daemon: usize) {
-    let tokens = TOP_UP.to_string();
+    let tokens = TOP_UP_TOKENS.to_string();
     let change = format!("top-up-{daemon}");
     let args = ["budget", "top-up", "main", &tokens, "--change", &change];
     // Whether it is recorded shows in the budget; the audit counts it in full,
     // which only a spend above the greater budget would break.
-    let _sent = fleet.bankcove(daemon, &args);
+    let _sent = fleet.run_cli(daemon, &args);
 }
 
 /// Waits until no bill waits and nothing is in flight.
-async fn settle(fleet: &Fleet) {
+async fn wait_until_idle(fleet: &Fleet) {
     for index in 0..fleet.daemons.len() {
         fleet
             .wait_for_status(index, |status| {
@@ -317,21 +323,21 @@
     budget: u64,
 ) -> Result<Report, Violation> {
     let runs = fleet.live_runs().await;
-    let calls = fleet.calls().await;
-    let writes = fleet.writes().await;
+    let calls = fleet.service_calls().await;
+    let writes = fleet.store_writes().await;
     let bills = check::bills(&segments(&writes));
     let request_of = |key: &str| RequestHash::of(&Name::from("dispatch"), key);
-    let spent = check::spend_within(&runs, calls.len() as u64 * CALL_TOKENS, budget)?;
-    check::grants_within(&shards(&writes))?;
+    let spent = check::spend_within_budget(&runs, calls.len() as u64 * CALL_TOKENS, budget)?;
+    check::grants_within_budgets(&shards(&writes))?;
     check::billed_once(attempts, &bills, request_of)?;
-    let done = check::whole_answers(attempts)?;
-    let not_run = check::not_run_is_true(attempts, &runs, &calls)?;
+    let done = check::complete_answers(attempts)?;
+    let not_run = check::not_run_never_executed(attempts, &runs, &calls)?;
     let once_calls = check::at_most_once(calls.iter().map(|call| call.run.as_str()))?;
-    let claimed = check::claimed(&segments(&writes));
+    let claimed = check::claimed_requests(&segments(&writes));
     let once_runs = runs.iter().filter(|run| claimed.contains(&run.run[..32]));
     let once_runs = check::at_most_once(once_runs.map(|run| run.run.as_str()))?;
     for index in 0..fleet.daemons.len() {
-        check::revisions_rise(&fleet.log(index))?;
+        check::revisions_increase(&fleet.log(index))?;
     }
     Ok(Report {
         attempts: attempts.len(),
@@ -341,6 +347,6 @@
         spent,
         budget,
         bills: bills.len(),
-        once: once_calls + once_runs,
+        non_repeatable: once_calls + once_runs,
     })
 }
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -7,7 +7,7 @@
 pub const MODEL: &str = "dispatch-8b";
 
 /// The workspace's key in every proof.
-pub const KEY: &str = "key-of-the-proof";
+pub const API_KEY: &str = "key-of-the-proof";
 
 /// A table with one workspace, budget and hall, and these servers.
 pub fn table(engines: &[String], services: &[String], tokens: u64) -> Value {
@@ -36,7 +36,7 @@
     json!({
         "halls": [{"name": "hall-1"}],
         "workspaces": [
-            {"name": "dispatch", "keys_sha256": [hash_key(KEY)], "default_budget": "main"},
+            {"name": "dispatch", "keys_sha256": [hash_key(API_KEY)], "default_budget": "main"},
         ],
         "budgets": [{"name": "main", "workspace": "dispatch", "tokens": tokens}],
         "servers": servers,
--- a/crates/proofs/tests/checkers.rs
+++ b/crates/proofs/tests/checkers.rs
@@ -4,7 +4,7 @@
 use bankcove_core::request_log::{Entry, Segment};
 use bankcove_core::shard::Shard;
 use bankcove_core::{AttemptId, Incarnation, Name, RequestHash};
-use bankcove_proofs::caller::{Attempt, Told};
+use bankcove_proofs::caller::{Attempt, AttemptOutcome};
 use bankcove_proofs::check;
 use bankcove_standins::engine::RunRecord;
 use bankcove_standins::service::CallRecord;
@@ -26,17 +26,17 @@
     }
 }
 
-fn attempt(key: &str, told: Told) -> Attempt {
+fn attempt(key: &str, outcome: AttemptOutcome) -> Attempt {
     let run = Some("run-1".to_owned());
-    Attempt { key: key.to_owned(), attempt: Some("a-1".to_owned()), run, told }
+    Attempt { key: key.to_owned(), attempt: Some("a-1".to_owned()), run, outcome }
 }
 
-fn done(text: &str, output_tokens: u64) -> Told {
-    Told::Done { text: text.to_owned(), output_tokens }
+fn done(text: &str, output_tokens: u64) -> AttemptOutcome {
+    AttemptOutcome::Done { text: text.to_owned(), output_tokens }
 }
 
-fn not_run() -> Told {
-    Told::NotRun { code: "budget_short".to_owned(), retry_after_ms: None }
+fn not_run() -> AttemptOutcome {
+    AttemptOutcome::NotRun { code: "budget_short".to_owned(), retry_after_ms: None }
 }
 
 fn bill(key: &str) -> Bill {
@@ -47,9 +47,9 @@
 
 #[test]
 fn overspend_is_found() {
-    assert_eq!(check::spend_within(&[run("a", 90)], 0, 100), Ok(100));
-    assert!(check::spend_within(&[run("a", 91)], 0, 100).is_err());
-    assert!(check::spend_within(&[run("a", 90)], 5, 100).is_err());
+    assert_eq!(check::spend_within_budget(&[run("a", 90)], 0, 100), Ok(100));
+    assert!(check::spend_within_budget(&[run("a", 91)], 0, 100).is_err());
+    assert!(check::spend_within_budget(&[run("a", 90)], 5, 100).is_err());
 }
 
 #[test]
@@ -58,9 +58,9 @@
     let ledger = shard.ledger(&Name::from("main"));
     ledger.update_row(100, 1);
     ledger.grant(Incarnation(1), "127.0.0.1:1", 100);
-    assert!(check::grants_within(std::slice::from_ref(&shard)).is_ok());
+    assert!(check::grants_within_budgets(std::slice::from_ref(&shard)).is_ok());
     shard.ledger(&Name::from("main")).grant(Incarnation(2), "127.0.0.1:2", 1);
-    assert!(check::grants_within(&[shard]).is_err());
+    assert!(check::grants_within_budgets(&[shard]).is_err());
 }
 
 #[test]
@@ -75,20 +75,20 @@
 #[test]
 fn a_gap_a_repeat_and_a_foreign_piece_are_found() {
     let whole = "run-1:0 run-1:1 ";
-    assert_eq!(check::whole_answers(&[attempt("k", done(whole, 2))]), Ok(1));
+    assert_eq!(check::complete_answers(&[attempt("k", done(whole, 2))]), Ok(1));
     for bad in ["run-1:1 ", "run-1:0 run-1:0 run-1:1 ", "run-1:0 other:1 ", "run-1:0 "] {
-        assert!(check::whole_answers(&[attempt("k", done(bad, 2))]).is_err(), "{bad}");
+        assert!(check::complete_answers(&[attempt("k", done(bad, 2))]).is_err(), "{bad}");
     }
 }
 
 #[test]
 fn a_not_run_that_ran_is_found() {
-    let told = [attempt("k", not_run())];
-    assert_eq!(check::not_run_is_true(&told, &[run("a-2", 1)], &[]), Ok(1));
-    assert!(check::not_run_is_true(&told, &[run("a-1", 1)], &[]).is_err());
+    let outcome = [attempt("k", not_run())];
+    assert_eq!(check::not_run_never_executed(&outcome, &[run("a-2", 1)], &[]), Ok(1));
+    assert!(check::not_run_never_executed(&outcome, &[run("a-1", 1)], &[]).is_err());
     let mut attached = run("a-2", 1);
     attached.attached.push("a-1".to_owned());
-    assert!(check::not_run_is_true(&told, &[attached], &[]).is_err());
+    assert!(check::not_run_never_executed(&outcome, &[attached], &[]).is_err());
     let call = CallRecord {
         run: "r".to_owned(),
         attempt: "a-1".to_owned(),
@@ -97,7 +97,7 @@
         body: String::new(),
         at_ms: 0,
     };
-    assert!(check::not_run_is_true(&told, &[], &[call]).is_err());
+    assert!(check::not_run_never_executed(&outcome, &[], &[call]).is_err());
 }
 
 #[test]
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn a_revision_that_falls_is_found() {
+fn a_decreasing_revision_is_found() {
     let line = |revision: u64| format!("{{\"msg\":\"table adopted\",\"revision\":{revision}}}\n");
     let serving = "{\"msg\":\"serving\"}\n";
-    assert_eq!(check::revisions_rise(&(line(1) + &line(3))), Ok(2));
-    assert!(check::revisions_rise(&(line(3) + &line(2))).is_err());
-    assert_eq!(check::revisions_rise(&(line(3) + serving + &line(2))), Ok(2));
+    assert_eq!(check::revisions_increase(&(line(1) + &line(3))), Ok(2));
+    assert!(check::revisions_increase(&(line(3) + &line(2))).is_err());
+    assert_eq!(check::revisions_increase(&(line(3) + serving + &line(2))), Ok(2));
 }
 
 #[test]
@@ -120,5 +120,5 @@
     let attempt = AttemptId { incarnation: Incarnation(1), sequence: 1 };
     let claim = Entry::Claim { request: request_of("k"), attempt };
     let segment = Segment { at: 0, window_start: 0, entries: vec![claim] };
-    assert!(check::claimed(&[segment]).contains(&request_of("k").to_string()));
+    assert!(check::claimed_requests(&[segment]).contains(&request_of("k").to_string()));
 }
--- a/crates/proofs/tests/faults.rs
+++ b/crates/proofs/tests/faults.rs
@@ -14,8 +14,8 @@
     store_down = { &[Fault::StoreDown] },
     store_slow = { &[Fault::StoreSlow] },
     lost_answers = { &[Fault::LostAnswers] },
-    top_up_apart = { &[Fault::TopUpApart] },
-    host_list_wrong = { &[Fault::HostListWrong] },
+    top_up_during_partition = { &[Fault::TopUpDuringPartition] },
+    host_list_empty = { &[Fault::HostListEmpty] },
     engine_dead = { &[Fault::EngineDead] },
     engine_slow = { &[Fault::EngineSlow] },
     engine_misdirects = { &[Fault::EngineMisdirects] },
@@ -23,7 +23,7 @@
     planned_stop = { &[Fault::PlannedStop] },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn promises_hold(faults: &[Fault]) {
+async fn guarantees_hold(faults: &[Fault]) {
     let scenario = Scenario::new(1, faults);
     match run(&scenario).await {
         Ok(report) => println!("{faults:?} seed {}: {report:?}", scenario.seed),
--- a/crates/proofs/tests/operations.rs
+++ b/crates/proofs/tests/operations.rs
@@ -7,9 +7,9 @@
 use bankcove_core::Name;
 use bankcove_core::members::{Host, HostRole, HostState};
 use bankcove_core::table::Table;
-use bankcove_proofs::caller::{Ask, Attempt, Caller, Told};
+use bankcove_proofs::caller::{Attempt, AttemptOutcome, Caller, ChatRequest};
 use bankcove_proofs::check;
-use bankcove_proofs::fleet::{Fleet, Plan};
+use bankcove_proofs::fleet::{Fleet, FleetConfig};
 use bankcove_standins::faults::Faults;
 use serde_json::{Value, json};
 
@@ -19,10 +19,10 @@
 const UNKNOWN: i32 = 4;
 
 /// Looks at a daemon's list of hosts, in some of which it has read it anew.
-const LISTS_READ: usize = 20;
+const HOST_LIST_POLLS: usize = 20;
 
 /// Pause between two of them: a quarter of the time between two reads.
-const LIST_PAUSE: Duration = Duration::from_millis(50);
+const HOST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn has_peer(status: &Value, name: &str) -> bool {
     let peers = status["peers"].as_array();
@@ -32,16 +32,16 @@
 }
 
 fn addresses(fleet: &Fleet) -> Vec<String> {
-    fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect()
+    fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect()
 }
 
-fn accepted(fleet: &Fleet, daemon: usize, args: &[&str]) {
-    let output = fleet.bankcove(daemon, args);
+fn run_accepted(fleet: &Fleet, daemon: usize, args: &[&str]) {
+    let output = fleet.run_cli(daemon, args);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
 async fn revision(fleet: &Fleet, daemon: usize) -> u64 {
-    let status = fleet.operator(daemon, "status").await.expect("the daemon answers");
+    let status = fleet.operator_get(daemon, "status").await.expect("the daemon answers");
     status["revision"].as_u64().expect("a revision is a number")
 }
 
@@ -49,13 +49,13 @@
     fleet.wait_for_status(daemon, |status| status["revision"].as_u64() >= Some(revision)).await;
 }
 
-async fn ask_all(fleet: &Fleet, prefix: &str, count: usize) -> Vec<Attempt> {
+async fn send_all(fleet: &Fleet, prefix: &str, count: usize) -> Vec<Attempt> {
     let targets = addresses(fleet);
-    let asks = (0..count).map(|n| {
+    let requests = (0..count).map(|n| {
         let (target, key) = (targets[n % targets.len()].clone(), format!("{prefix}-{n}"));
-        async move { Caller::default().ask(&target, &Ask::new(key)).await }
+        async move { Caller::default().chat(&target, &ChatRequest::new(key)).await }
     });
-    futures::future::join_all(asks).await
+    futures::future::join_all(requests).await
 }
 
 async fn runs_at(fleet: &Fleet, engine: usize) -> usize {
@@ -64,16 +64,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_racing_edits_of_one_row_one_is_accepted_and_none_is_lost() {
-    let fleet = Fleet::start(&Plan { daemons: 3, ..Plan::default() }).await;
-    fleet.store.faults(Faults { lose_answers: 0.3, delay_ms: 20, ..Faults::default() }).await;
+    let fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
+    fleet.store.set_faults(Faults { lose_answers: 0.3, delay_ms: 20, ..Faults::default() }).await;
     let mut accepted = 0;
     for round in 0..3 {
-        let version = row_version(&fleet, "hall-1").await.to_string();
+        let version = stored_row_version(&fleet, "hall-1").await.to_string();
         let outputs: Vec<_> = std::thread::scope(|scope| {
             let edit = |n: usize| {
                 let (weight, version) = (format!("weight={}", round * 10 + n + 1), &version);
                 let args = ["row", "set", "halls", "hall-1", &weight, "--from-version", version];
-                fleet.bankcove(n % 3, &args)
+                fleet.run_cli(n % 3, &args)
             };
             let threads: Vec<_> = (0..4).map(|n| scope.spawn(move || edit(n))).collect();
             threads.into_iter().map(|t| t.join().expect("no panic")).collect()
@@ -91,17 +91,17 @@
     let edits = table.history.iter().filter(|change| change.rows == ["halls/hall-1"]).count();
     assert_eq!(edits, accepted);
     for daemon in 0..3 {
-        check::revisions_rise(&fleet.log(daemon)).expect("revisions never fall");
+        check::revisions_increase(&fleet.log(daemon)).expect("revisions never fall");
     }
 }
 
-async fn row_version(fleet: &Fleet, hall: &str) -> u64 {
+async fn stored_row_version(fleet: &Fleet, hall: &str) -> u64 {
     let table = stored_table(fleet).await;
     table.halls.iter().find(|row| row.name.as_str() == hall).expect("the hall is there").version
 }
 
 async fn stored_table(fleet: &Fleet) -> Table {
-    let writes = fleet.writes().await;
+    let writes = fleet.store_writes().await;
     let tables = writes.iter().rev().find(|write| write["kind"] == "tables");
     let value = tables.expect("a table was written")["value"].clone();
     serde_json::from_value(value).expect("it is a table")
@@ -109,102 +109,108 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edit_during_an_outage_counts_once() {
-    let fleet = Fleet::start(&Plan { daemons: 2, ..Plan::default() }).await;
+    let fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
     let args = ["row", "set", "halls", "hall-1", "weight=2", "--change", "once"];
-    fleet.store.faults(Faults { down: true, ..Faults::default() }).await;
-    assert_eq!(fleet.bankcove(0, &args).status.code(), Some(UNKNOWN));
-    fleet.store.faults(Faults::default()).await;
-    assert!(fleet.bankcove(0, &args).status.success());
-    assert!(fleet.bankcove(1, &args).status.success());
+    fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
+    assert_eq!(fleet.run_cli(0, &args).status.code(), Some(UNKNOWN));
+    fleet.store.set_faults(Faults::default()).await;
+    assert!(fleet.run_cli(0, &args).status.success());
+    assert!(fleet.run_cli(1, &args).status.success());
     let table = stored_table(&fleet).await;
     assert_eq!(table.history.iter().filter(|change| change.id == "once").count(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_was_apart_takes_the_newest_table() {
-    let fleet = Fleet::start(&Plan { daemons: 3, ..Plan::default() }).await;
+async fn a_partitioned_daemon_adopts_the_newest_table() {
+    let fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
     fleet.daemons[2].store_link.cut();
     fleet.daemons[2].peer_link.cut();
-    fleet.daemons[1].process.freeze();
-    let output = fleet.bankcove(0, &["row", "set", "halls", "hall-1", "weight=3"]);
+    fleet.daemons[1].process.pause();
+    let output = fleet.run_cli(0, &["row", "set", "halls", "hall-1", "weight=3"]);
     assert!(output.status.success());
     let newest = revision(&fleet, 0).await;
-    fleet.daemons[1].process.thaw();
-    fleet.daemons[2].peer_link.mend();
-    fleet.daemons[2].store_link.mend();
+    fleet.daemons[1].process.resume();
+    fleet.daemons[2].peer_link.restore();
+    fleet.daemons[2].store_link.restore();
     for daemon in 0..3 {
         wait_for_revision(&fleet, daemon, newest).await;
-        check::revisions_rise(&fleet.log(daemon)).expect("revisions never fall");
+        check::revisions_increase(&fleet.log(daemon)).expect("revisions never fall");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_started_without_the_store_takes_the_table_from_peers() {
-    let mut fleet = Fleet::start(&Plan { daemons: 2, ..Plan::default() }).await;
+async fn a_daemon_started_without_the_store_gets_the_table_from_peers() {
+    let mut fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
     let newest = revision(&fleet, 0).await;
-    fleet.store.faults(Faults { down: true, ..Faults::default() }).await;
+    fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
     fleet.add_daemon("entry-late").await;
     wait_for_revision(&fleet, 2, newest).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_row_gets_no_new_work_and_its_streams_end_whole() {
-    let plan = Plan { daemons: 3, engines: 2, step_ms: 20, ..Plan::default() };
-    let fleet = Fleet::start(&plan).await;
+async fn a_drained_row_gets_no_new_work_and_its_streams_complete() {
+    let config = FleetConfig { daemons: 3, engines: 2, step_ms: 20, ..FleetConfig::default() };
+    let fleet = Fleet::start(&config).await;
     let targets = addresses(&fleet);
     let long: Vec<_> = (0..12)
         .map(|n| {
             let target = targets[n % 3].clone();
-            let ask = Ask::new(format!("long-{n}")).max_tokens(60);
-            tokio::spawn(async move { Caller::default().ask(&target, &ask).await })
+            let request = ChatRequest::new(format!("long-{n}")).max_tokens(60);
+            tokio::spawn(async move { Caller::default().chat(&target, &request).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    accepted(&fleet, 0, &["drain", "engine-0"]);
+    run_accepted(&fleet, 0, &["drain", "engine-0"]);
     let drained = revision(&fleet, 0).await;
     for daemon in 0..3 {
         wait_for_revision(&fleet, daemon, drained).await;
     }
     let before = runs_at(&fleet, 0).await;
-    let attempts = ask_all(&fleet, "after", 30).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(30), "{attempts:?}");
+    let attempts = send_all(&fleet, "after", 30).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(30), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let mut streams = Vec::new();
     for stream in long {
         streams.push(stream.await.expect("the caller does not panic"));
     }
-    assert_eq!(check::whole_answers(&streams), Ok(12), "{streams:?}");
-    accepted(&fleet, 1, &["undrain", "engine-0"]);
+    assert_eq!(check::complete_answers(&streams), Ok(12), "{streams:?}");
+    run_accepted(&fleet, 1, &["undrain", "engine-0"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_hall_gets_no_new_work_and_its_streams_end_whole() {
-    let fleet =
-        Fleet::start(&Plan { daemons: 2, engines: 2, step_ms: 20, ..Plan::default() }).await;
-    accepted(&fleet, 0, &["row", "set", "halls", "hall-2", "weight=1"]);
-    accepted(&fleet, 0, &["row", "set", "servers", "engine-1", "hall=hall-2"]);
+async fn an_evacuated_hall_gets_no_new_work_and_its_streams_complete() {
+    let fleet = Fleet::start(&FleetConfig {
+        daemons: 2,
+        engines: 2,
+        step_ms: 20,
+        ..FleetConfig::default()
+    })
+    .await;
+    run_accepted(&fleet, 0, &["row", "set", "halls", "hall-2", "weight=1"]);
+    run_accepted(&fleet, 0, &["row", "set", "servers", "engine-1", "hall=hall-2"]);
     let target = addresses(&fleet)[0].clone();
     let long = tokio::spawn(async move {
-        Caller::default().ask(&target, &Ask::new("long".to_owned()).max_tokens(60)).await
+        Caller::default().chat(&target, &ChatRequest::new("long".to_owned()).max_tokens(60)).await
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    accepted(&fleet, 0, &["evacuate", "hall-1"]);
+    run_accepted(&fleet, 0, &["evacuate", "hall-1"]);
     wait_for_revision(&fleet, 1, revision(&fleet, 0).await).await;
     let before = runs_at(&fleet, 0).await;
-    let attempts = ask_all(&fleet, "evacuated", 20).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(20), "{attempts:?}");
+    let attempts = send_all(&fleet, "evacuated", 20).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let stream = long.await.expect("the caller does not panic");
-    assert_eq!(check::whole_answers(&[stream]), Ok(1));
-    accepted(&fleet, 1, &["reopen", "hall-1"]);
+    assert_eq!(check::complete_answers(&[stream]), Ok(1));
+    run_accepted(&fleet, 1, &["reopen", "hall-1"]);
     wait_for_revision(&fleet, 0, revision(&fleet, 1).await).await;
-    let attempts = ask_all(&fleet, "reopened", 40).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(40), "{attempts:?}");
+    let attempts = send_all(&fleet, "reopened", 40).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(40), "{attempts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_listed_as_leaving_gets_no_new_work() {
-    let fleet = Fleet::start(&Plan { daemons: 2, engines: 2, ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(&FleetConfig { daemons: 2, engines: 2, ..FleetConfig::default() }).await;
     let mut hosts = fleet.hosts();
     hosts.push(Host {
         name: "engine-0".into(),
@@ -213,19 +219,19 @@
         role: HostRole::Server,
         state: HostState::Leaving,
     });
-    fleet.put_hosts(&hosts).await;
+    fleet.set_hosts(&hosts).await;
     for daemon in 0..2 {
         wait_until_listed_leaving(&fleet, daemon).await;
     }
     let before = runs_at(&fleet, 0).await;
-    let attempts = ask_all(&fleet, "listed", 20).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(20), "{attempts:?}");
+    let attempts = send_all(&fleet, "listed", 20).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
 }
 
 async fn wait_until_listed_leaving(fleet: &Fleet, daemon: usize) {
     for _ in 0..200 {
-        let dump = fleet.operator(daemon, "dump").await.unwrap_or_default();
+        let dump = fleet.operator_get(daemon, "dump").await.unwrap_or_default();
         let servers = dump["servers"].as_array().cloned().unwrap_or_default();
         if servers.iter().any(|s| s["name"] == "engine-0" && s["listed_leaving"] == true) {
             return;
@@ -236,16 +242,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_leaves_by_its_own_word_refuses_and_others_serve() {
-    let fleet = Fleet::start(&Plan { daemons: 2, engines: 2, ..Plan::default() }).await;
+async fn a_leaving_server_refuses_requests_and_others_serve_them() {
+    let fleet =
+        Fleet::start(&FleetConfig { daemons: 2, engines: 2, ..FleetConfig::default() }).await;
     let orders = format!("http://{}/v1/orders", fleet.engines[0].address);
     let http = reqwest::Client::new();
     let order = |epoch: u64, leave: bool| {
         http.post(&orders).json(&json!({"epoch": epoch, "leave": leave})).send()
     };
     assert!(order(1_000, true).await.expect("it answers").status().is_success());
-    let attempts = ask_all(&fleet, "own-word", 20).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(20), "{attempts:?}");
+    let attempts = send_all(&fleet, "own-word", 20).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, 0);
     let old = order(999, false).await.expect("it answers");
     assert_eq!(old.status(), reqwest::StatusCode::CONFLICT);
@@ -253,8 +260,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_checks_orders_is_ordered_to_leave() {
-    let fleet = Fleet::start(&Plan { daemons: 3, engines: 2, ..Plan::default() }).await;
-    accepted(&fleet, 2, &["drain", "engine-1"]);
+    let fleet =
+        Fleet::start(&FleetConfig { daemons: 3, engines: 2, ..FleetConfig::default() }).await;
+    run_accepted(&fleet, 2, &["drain", "engine-1"]);
     let load = format!("http://{}/v1/load", fleet.engines[1].address);
     for _ in 0..200 {
         let report: Value =
@@ -268,33 +276,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_hears_from_nobody_spares_servers_that_check_nothing() {
-    let mut plan = Plan { daemons: 2, engines: 1, ignores_orders: true, ..Plan::default() };
-    plan.limits["isolation_ms"] = json!(800);
-    let mut fleet = Fleet::start_with(&plan, |table| {
+async fn an_isolated_daemon_sends_nothing_to_servers_that_check_no_orders() {
+    let mut config =
+        FleetConfig { daemons: 2, engines: 1, ignores_orders: true, ..FleetConfig::default() };
+    config.limits["isolation_ms"] = json!(800);
+    let mut fleet = Fleet::start_with(&config, |table| {
         table["servers"][0]["checks_orders"] = json!(false);
     })
     .await;
-    let attempts = ask_all(&fleet, "before", 4).await;
-    assert_eq!(check::whole_answers(&attempts), Ok(4), "{attempts:?}");
+    let attempts = send_all(&fleet, "before", 4).await;
+    assert_eq!(check::complete_answers(&attempts), Ok(4), "{attempts:?}");
     fleet.daemons[0].store_link.cut();
     fleet.daemons[0].peer_link.cut();
     fleet.daemons[1].peer_link.cut();
     fleet.wait_for_status(0, |status| status["isolated"] == true).await;
-    accepted(&fleet, 1, &["drain", "engine-0"]);
+    run_accepted(&fleet, 1, &["drain", "engine-0"]);
     let before = runs_at(&fleet, 0).await;
-    let told = Caller::default().ask(&fleet.daemons[0].callers, &Ask::new("cut-off")).await;
-    let Told::NotRun { code, .. } = &told.told else { panic!("{told:?}") };
+    let outcome = Caller::default()
+        .chat(&fleet.daemons[0].caller_address, &ChatRequest::new("cut-off"))
+        .await;
+    let AttemptOutcome::NotRun { code, .. } = &outcome.outcome else { panic!("{outcome:?}") };
     assert_eq!(code, "no_server");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let runs = fleet.live_runs().await;
-    assert!(check::not_run_is_true(&[told], &runs, &[]).is_ok());
+    assert!(check::not_run_never_executed(&[outcome], &runs, &[]).is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rolling_stops_of_every_daemon_cut_nothing() {
-    let plan = Plan { daemons: 3, engines: 2, step_ms: 15, ..Plan::default() };
-    let mut fleet = Fleet::start(&plan).await;
+async fn rolling_stops_of_every_daemon_interrupt_no_request() {
+    let config = FleetConfig { daemons: 3, engines: 2, step_ms: 15, ..FleetConfig::default() };
+    let mut fleet = Fleet::start(&config).await;
     let targets = addresses(&fleet);
     let stop = Arc::<AtomicBool>::default();
     let callers: Vec<_> =
@@ -311,15 +322,16 @@
     for caller in callers {
         attempts.extend(caller.await.expect("callers do not panic"));
     }
-    let cut: Vec<_> = attempts.iter().filter(|a| matches!(a.told, Told::Unknown { .. })).collect();
+    let cut: Vec<_> =
+        attempts.iter().filter(|a| matches!(a.outcome, AttemptOutcome::Unknown { .. })).collect();
     assert!(cut.is_empty(), "{cut:?}");
     let runs = fleet.live_runs().await;
-    assert!(check::not_run_is_true(&attempts, &runs, &[]).is_ok());
+    assert!(check::not_run_never_executed(&attempts, &runs, &[]).is_ok());
     for daemon in 0..3 {
         fleet.daemons[daemon].process.terminate();
         assert!(fleet.daemons[daemon].process.wait(), "a planned stop ends well");
     }
-    let shards = bankcove_proofs::fleet::shards(&fleet.writes().await);
+    let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let ledgers: Vec<_> = shards.iter().filter_map(|shard| shard.budgets.values().next()).collect();
     let last = ledgers.last().expect("the budget was written");
     let ran: u64 = runs.iter().map(|run| run.prompt_tokens + run.output_tokens).sum();
@@ -333,29 +345,30 @@
     let mut count = 0;
     while !stop.load(Ordering::SeqCst) {
         count += 1;
-        let ask = Ask::new(format!("rolling-{n}-{count}")).max_tokens(30);
-        attempts.extend(caller.ask_until_done(&targets, &ask, 10).await);
+        let request = ChatRequest::new(format!("rolling-{n}-{count}")).max_tokens(30);
+        attempts.extend(caller.chat_until_done(&targets, &request, 10).await);
     }
     attempts
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_during_an_outage_gives_back_what_it_held_once_the_store_is_there() {
-    let mut fleet = Fleet::start(&Plan { daemons: 2, ..Plan::default() }).await;
+async fn a_stop_during_an_outage_returns_held_tokens_once_the_store_is_back() {
+    let mut fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
     for target in addresses(&fleet) {
-        let told = Caller::default().ask(&target, &Ask::new(format!("held-{target}"))).await;
-        assert!(matches!(told.told, Told::Done { .. }), "{told:?}");
+        let outcome =
+            Caller::default().chat(&target, &ChatRequest::new(format!("held-{target}"))).await;
+        assert!(matches!(outcome.outcome, AttemptOutcome::Done { .. }), "{outcome:?}");
     }
-    fleet.store.faults(Faults { down: true, ..Faults::default() }).await;
+    fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
     for daemon in &fleet.daemons {
         daemon.process.terminate();
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fleet.store.faults(Faults::default()).await;
+    fleet.store.set_faults(Faults::default()).await;
     for daemon in &mut fleet.daemons {
         assert!(daemon.process.wait(), "a planned stop ends well");
     }
-    let shards = bankcove_proofs::fleet::shards(&fleet.writes().await);
+    let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let last = shards.last().and_then(|shard| shard.budgets.values().next());
     let last = last.expect("the budget was written");
     let runs = fleet.live_runs().await;
@@ -366,7 +379,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peers_older_host_list_does_not_replace_a_newer_one() {
-    let mut fleet = Fleet::start(&Plan { daemons: 3, ..Plan::default() }).await;
+    let mut fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
     // The first two read the list for their hall, and do not see it change.
     for reader in &fleet.daemons[..2] {
         reader.store_link.cut();
@@ -374,15 +387,15 @@
     let mut hosts = fleet.hosts();
     let newcomer = Host { name: Name::from("entry-9"), ..hosts[0].clone() };
     hosts.push(newcomer);
-    fleet.put_hosts(&hosts).await;
+    fleet.set_hosts(&hosts).await;
     // Until it knows its peers, the third one reads the store itself.
     fleet.daemons[2].process.kill();
     fleet.restart_daemon(2).await;
     let knows_newcomer = |status: &Value| has_peer(status, "entry-9");
     fleet.wait_for_status(2, knows_newcomer).await;
-    for _ in 0..LISTS_READ {
-        tokio::time::sleep(LIST_PAUSE).await;
-        let status = fleet.operator(2, "status").await.expect("the daemon answers");
+    for _ in 0..HOST_LIST_POLLS {
+        tokio::time::sleep(HOST_LIST_POLL_INTERVAL).await;
+        let status = fleet.operator_get(2, "status").await.expect("the daemon answers");
         assert!(knows_newcomer(&status), "{status}");
     }
 }
--- a/crates/proofs/tests/path.rs
+++ b/crates/proofs/tests/path.rs
@@ -1,32 +1,35 @@
 //! The whole path over the real binaries, each process on its own.
 
 use bankcove_core::{Name, RequestHash};
-use bankcove_proofs::caller::{Ask, Caller, Told};
+use bankcove_proofs::caller::{AttemptOutcome, Caller, ChatRequest};
 use bankcove_proofs::check;
-use bankcove_proofs::fleet::{Fleet, Plan, TOKEN, segments};
-use bankcove_proofs::table::{KEY, MODEL};
+use bankcove_proofs::fleet::{Fleet, FleetConfig, OPERATOR_TOKEN, segments};
+use bankcove_proofs::table::{API_KEY, MODEL};
 use serde_json::{Value, json};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_goes_through_and_is_billed() {
-    let fleet = Fleet::start(&Plan { services: 1, ..Plan::default() }).await;
+    let fleet = Fleet::start(&FleetConfig { services: 1, ..FleetConfig::default() }).await;
     let caller = Caller::default();
-    let daemon = &fleet.daemons[0].callers;
+    let daemon = &fleet.daemons[0].caller_address;
     let mut attempts = Vec::new();
-    attempts.push(caller.ask(daemon, &Ask::new("streamed")).await);
-    attempts.push(caller.ask(daemon, &Ask::new("whole").whole()).await);
+    attempts.push(caller.chat(daemon, &ChatRequest::new("streamed")).await);
+    attempts.push(caller.chat(daemon, &ChatRequest::new("whole").unstreamed()).await);
     for attempt in &attempts {
-        assert!(matches!(attempt.told, Told::Done { output_tokens: 8, .. }), "{attempt:?}");
+        assert!(
+            matches!(attempt.outcome, AttemptOutcome::Done { output_tokens: 8, .. }),
+            "{attempt:?}"
+        );
     }
-    assert_eq!(check::whole_answers(&attempts), Ok(2));
-    let bills = check::bills(&segments(&fleet.writes().await));
+    assert_eq!(check::complete_answers(&attempts), Ok(2));
+    let bills = check::bills(&segments(&fleet.store_writes().await));
     let request_of = |key: &str| RequestHash::of(&Name::from("dispatch"), key);
     assert_eq!(check::billed_once(&attempts, &bills, request_of), Ok(()));
     assert_eq!(bills.len(), 2);
 }
 
 async fn post(fleet: &Fleet, key: &str, body: impl Into<reqwest::Body>) -> (u16, Value) {
-    let url = format!("http://{}/v1/chat/completions", fleet.daemons[0].callers);
+    let url = format!("http://{}/v1/chat/completions", fleet.daemons[0].caller_address);
     let req = reqwest::Client::new().post(url).bearer_auth(key).body(body);
     let res = req.send().await.expect("the daemon answers");
     (res.status().as_u16(), res.json().await.expect("errors are JSON"))
@@ -37,20 +40,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_can_not_be_served_is_told_clearly_and_runs_nowhere() {
-    let mut plan = Plan::default();
-    plan.limits["max_body_bytes"] = json!(10_000);
-    let mut fleet = Fleet::start(&plan).await;
+async fn invalid_requests_get_an_error_code_and_run_nowhere() {
+    let mut config = FleetConfig::default();
+    config.limits["max_body_bytes"] = json!(10_000);
+    let mut fleet = Fleet::start(&config).await;
     let long = "x".repeat(20_000);
     let mut too_many = chat(MODEL);
     too_many["max_tokens"] = json!(100_000);
     let cases = [
         ("wrong", chat(MODEL).to_string(), 401, "bad_key"),
-        (KEY, "{\"model\": ".to_owned(), 400, "bad_json"),
-        (KEY, json!({"model": MODEL}).to_string(), 400, "bad_request"),
-        (KEY, too_many.to_string(), 400, "bad_max_tokens"),
-        (KEY, chat("other").to_string(), 404, "no_such_model"),
-        (KEY, long, 413, "body_too_large"),
+        (API_KEY, "{\"model\": ".to_owned(), 400, "bad_json"),
+        (API_KEY, json!({"model": MODEL}).to_string(), 400, "bad_request"),
+        (API_KEY, too_many.to_string(), 400, "bad_max_tokens"),
+        (API_KEY, chat("other").to_string(), 404, "no_such_model"),
+        (API_KEY, long, 413, "body_too_large"),
     ];
     for (key, body, status, code) in cases {
         let (found, answer) = post(&fleet, key, body).await;
@@ -61,38 +64,40 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_engine_is_told_as_not_run_with_when_to_come_back() {
-    let mut fleet = Fleet::start(&Plan::default()).await;
+async fn a_request_for_a_dead_engine_is_answered_not_run_with_a_retry_time() {
+    let mut fleet = Fleet::start(&FleetConfig::default()).await;
     fleet.engines[0].process.kill();
-    let told = Caller::default().ask(&fleet.daemons[0].callers, &Ask::new("nobody")).await.told;
-    let Told::NotRun { code, retry_after_ms } = told else { panic!("{told:?}") };
+    let outcome = Caller::default()
+        .chat(&fleet.daemons[0].caller_address, &ChatRequest::new("nobody"))
+        .await
+        .outcome;
+    let AttemptOutcome::NotRun { code, retry_after_ms } = outcome else { panic!("{outcome:?}") };
     assert_eq!((code.as_str(), retry_after_ms.is_some()), ("no_server", true));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_service_gets_method_and_body_and_its_answer_comes_through() {
-    let fleet = Fleet::start(&Plan { services: 1, ..Plan::default() }).await;
-    let patience = std::time::Duration::from_secs(5);
-    let daemon = &fleet.daemons[0].callers;
-    let posted =
-        Caller::default().post(daemon, "/orders/9?x=1", "o-9", "two seats", patience).await;
+async fn a_plain_service_gets_method_and_body_and_its_response_reaches_the_caller() {
+    let fleet = Fleet::start(&FleetConfig { services: 1, ..FleetConfig::default() }).await;
+    let timeout = std::time::Duration::from_secs(5);
+    let daemon = &fleet.daemons[0].caller_address;
+    let posted = Caller::default().post(daemon, "/orders/9?x=1", "o-9", "two seats", timeout).await;
     let posted = posted.expect("the daemon answers");
     let echoed = posted.body["you"]["body"].as_str();
     assert_eq!((posted.status, echoed), (201, Some("two seats")));
-    let calls = fleet.calls().await;
+    let calls = fleet.service_calls().await;
     assert_eq!((calls.len(), calls[0].path.as_str()), (1, "/orders/9"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_need_their_token_and_dumps_hold_no_keys() {
-    let fleet = Fleet::start(&Plan::default()).await;
-    let url = format!("http://{}/v1/dump", fleet.daemons[0].operators);
+    let fleet = Fleet::start(&FleetConfig::default()).await;
+    let url = format!("http://{}/v1/dump", fleet.daemons[0].operator_address);
     let res = reqwest::Client::new().get(url).bearer_auth("wrong").send().await;
     assert_eq!(res.expect("the daemon answers").status().as_u16(), 401);
-    Caller::default().ask(&fleet.daemons[0].callers, &Ask::new("logged")).await;
-    let dump = fleet.operator(0, "dump").await.expect("the daemon answers").to_string();
-    let hash = bankcoved::auth::hash_key(KEY);
-    assert!(!dump.contains(&hash) && !dump.contains(KEY) && !dump.contains(TOKEN));
+    Caller::default().chat(&fleet.daemons[0].caller_address, &ChatRequest::new("logged")).await;
+    let dump = fleet.operator_get(0, "dump").await.expect("the daemon answers").to_string();
+    let hash = bankcoved::auth::hash_key(API_KEY);
+    assert!(!dump.contains(&hash) && !dump.contains(API_KEY) && !dump.contains(OPERATOR_TOKEN));
     let log = fleet.log(0);
-    assert!(!log.contains(KEY) && !log.contains("summarise shift"), "{log}");
+    assert!(!log.contains(API_KEY) && !log.contains("summarise shift"), "{log}");
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -20,10 +20,10 @@
 use tokio::sync::{Notify, Semaphore, mpsc};
 
 pub use answer::token_text;
-use answer::{send_stream, whole};
+use answer::{complete_answer, send_stream};
 
 use crate::faults::Faults;
-use crate::serve::{MAX_BODY_BYTES, Running};
+use crate::serve::{MAX_BODY_BYTES, RunningStandIn};
 
 /// Bytes of a prompt that make one token.
 const BYTES_PER_TOKEN: usize = 4;
@@ -123,7 +123,7 @@
 ///
 /// # Errors
 /// When the port can't be listened on.
-pub async fn start(listen: &str, settings: Settings) -> std::io::Result<Running> {
+pub async fn start(listen: &str, settings: Settings) -> std::io::Result<RunningStandIn> {
     let slots = Semaphore::new(settings.slots);
     let engine = Arc::new(Engine {
         settings,
@@ -139,12 +139,12 @@
         }),
         slots,
     });
-    Running::start(listen, routes(engine)).await
+    RunningStandIn::start(listen, routes(engine)).await
 }
 
 fn routes(engine: Arc<Engine>) -> Router {
     let api = Router::with_path("v1")
-        .hoop(show_faults)
+        .hoop(inject_faults)
         .push(Router::with_path("chat/completions").post(chat))
         .push(Router::with_path("runs").get(history))
         .push(Router::with_path("runs/{id}/cancel").post(cancel))
@@ -175,7 +175,7 @@
 }
 
 #[handler]
-async fn show_faults(depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn inject_faults(depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
     let faults = engine(depot).state.lock().faults;
     tokio::time::sleep(faults.delay()).await;
     if faults.down {
@@ -194,12 +194,12 @@
         return;
     };
     let faults = engine.state.lock().faults;
-    faults.put_hints(res.headers_mut());
+    faults.insert_hint_headers(res.headers_mut());
     if faults.rest_s.is_some() {
         error(res, StatusCode::SERVICE_UNAVAILABLE, "busy");
         return;
     }
-    let Some((run, is_new)) = engine.begin(&run_id, &attempt, &body) else {
+    let Some((run, is_new)) = engine.start_or_attach(&run_id, &attempt, &body) else {
         error(res, StatusCode::SERVICE_UNAVAILABLE, "leaving");
         return;
     };
@@ -212,8 +212,8 @@
         stream(run, body.model, 0, faults, res);
         return;
     }
-    run.wait_for(u64::MAX).await;
-    res.render(Json(whole(&run, &body.model)));
+    run.wait_for_tokens_after(u64::MAX).await;
+    res.render(Json(complete_answer(&run, &body.model)));
 }
 
 /// Resumes the stream of a run; it never begins one.
@@ -224,7 +224,7 @@
     let model: String = req.query("model").unwrap_or_default();
     let engine = engine(depot);
     let state = engine.state.lock();
-    state.faults.put_hints(res.headers_mut());
+    state.faults.insert_hint_headers(res.headers_mut());
     match state.runs.get(&id) {
         Some(run) => stream(Arc::clone(run), model, offset, state.faults, res),
         None => error(res, StatusCode::NOT_FOUND, "no_such_run"),
@@ -241,7 +241,12 @@
 
 impl Engine {
     /// The run of this name, begun when there is none; none while leaving.
-    fn begin(&self, run_id: &str, attempt: &str, body: &ChatRequest) -> Option<(Arc<Run>, bool)> {
+    fn start_or_attach(
+        &self,
+        run_id: &str,
+        attempt: &str,
+        body: &ChatRequest,
+    ) -> Option<(Arc<Run>, bool)> {
         let mut state = self.state.lock();
         let known = state.runs.get(run_id).filter(|_| !run_id.is_empty());
         if let Some(run) = known.filter(|run| !run.record.lock().cancelled) {
@@ -276,7 +281,7 @@
         Some((run, true))
     }
 
-    fn step(&self) -> Duration {
+    fn step_duration(&self) -> Duration {
         let factor = self.state.lock().faults.slow_factor.max(1);
         self.settings.step * u32::try_from(factor).unwrap_or(u32::MAX)
     }
@@ -284,7 +289,7 @@
 
 impl Run {
     /// Waits until more than `offset` tokens are there, or the run has ended.
-    async fn wait_for(&self, offset: u64) -> RunRecord {
+    async fn wait_for_tokens_after(&self, offset: u64) -> RunRecord {
         loop {
             let changed = self.changed.notified();
             {
@@ -306,7 +311,7 @@
         state.running += 1;
     }
     for _ in 0..run.limit {
-        tokio::time::sleep(engine.step()).await;
+        tokio::time::sleep(engine.step_duration()).await;
         if run.record.lock().cancelled {
             break;
         }
@@ -343,13 +348,13 @@
         return;
     };
     run.record.lock().cancelled = true;
-    let record = run.wait_for(u64::MAX).await;
+    let record = run.wait_for_tokens_after(u64::MAX).await;
     res.render(Json(record));
 }
 
 #[handler]
 async fn tokenize(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    engine(depot).state.lock().faults.put_hints(res.headers_mut());
+    engine(depot).state.lock().faults.insert_hint_headers(res.headers_mut());
     match req.parse_json_with_max_size::<ChatRequest>(MAX_BODY_BYTES).await {
         Ok(body) => res.render(Json(json!({"count": prompt_tokens(&body.messages)}))),
         Err(_) => error(res, StatusCode::BAD_REQUEST, "bad_request"),
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -18,16 +18,16 @@
     tx: mpsc::Sender<std::io::Result<Bytes>>,
 ) {
     loop {
-        let record = run.wait_for(offset).await;
+        let record = run.wait_for_tokens_after(offset).await;
         while offset < record.output_tokens {
-            let piece = piece(&record.run, &model, offset);
+            let chunk = chunk(&record.run, &model, offset);
             for _ in 0..(1 + u32::from(faults.repeat)) {
-                if send(&tx, &piece).await.is_err() {
+                if send(&tx, &chunk).await.is_err() {
                     return;
                 }
             }
             if faults.misdirect {
-                let foreign = self::piece("another-run", &model, offset + 1);
+                let foreign = self::chunk("another-run", &model, offset + 1);
                 // A reader that left is noticed with the next own piece.
                 let _left = send(&tx, &foreign).await;
             }
@@ -42,7 +42,7 @@
             break;
         }
     }
-    let last = last_piece(&run.record.lock(), &model);
+    let last = final_chunk(&run.record.lock(), &model);
     if send(&tx, &last).await.is_ok() {
         let done = Bytes::from_static(b"data: [DONE]\n\n");
         // A reader that left needs no end mark.
@@ -50,8 +50,8 @@
     }
 }
 
-async fn send(tx: &mpsc::Sender<std::io::Result<Bytes>>, piece: &Value) -> Result<(), ()> {
-    tx.send(Ok(Bytes::from(format!("data: {piece}\n\n")))).await.map_err(|_| ())
+async fn send(tx: &mpsc::Sender<std::io::Result<Bytes>>, chunk: &Value) -> Result<(), ()> {
+    tx.send(Ok(Bytes::from(format!("data: {chunk}\n\n")))).await.map_err(|_| ())
 }
 
 /// Text of the token at this offset: it names its run, so that a piece of
@@ -61,14 +61,14 @@
     format!("{start}:{offset} ")
 }
 
-fn piece(run: &str, model: &str, offset: u64) -> Value {
+fn chunk(run: &str, model: &str, offset: u64) -> Value {
     json!({
         "id": run, "object": "chat.completion.chunk", "model": model, "offset": offset,
         "choices": [{"index": 0, "delta": {"content": token_text(run, offset)}, "finish_reason": null}],
     })
 }
 
-fn last_piece(record: &RunRecord, model: &str) -> Value {
+fn final_chunk(record: &RunRecord, model: &str) -> Value {
     json!({
         "id": record.run, "object": "chat.completion.chunk", "model": model,
         "offset": record.output_tokens, "usage": usage(record),
@@ -76,7 +76,7 @@
     })
 }
 
-pub(super) fn whole(run: &Run, model: &str) -> Value {
+pub(super) fn complete_answer(run: &Run, model: &str) -> Value {
     let record = run.record.lock();
     let text: String = (0..record.output_tokens).map(|i| token_text(&record.run, i)).collect();
     let message = json!({"role": "assistant", "content": text});
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -41,7 +41,7 @@
 
 impl Faults {
     /// Has the answer to a request say what the server says of itself.
-    pub fn put_hints(&self, headers: &mut HeaderMap) {
+    pub fn insert_hint_headers(&self, headers: &mut HeaderMap) {
         let mut put = |name: &'static str, value: Option<String>| {
             if let Some(Ok(value)) = value.map(|value| HeaderValue::from_str(&value)) {
                 headers.insert(name, value);
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod service;
 pub mod store;
 
-pub use serve::Running;
+pub use serve::RunningStandIn;
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -15,12 +15,12 @@
 
 /// A stand-in that serves; dropping it ends it.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningStandIn {
     address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningStandIn {
     /// Serves `router` on `listen`, an IP number and port.
     ///
     /// # Errors
@@ -36,7 +36,7 @@
         let address = listener.local_addr()?;
         let acceptor = TcpAcceptor::try_from(listener)?;
         let task = tokio::spawn(async move { Server::new(acceptor).serve(router).await });
-        Ok(Running { address, task })
+        Ok(RunningStandIn { address, task })
     }
 
     /// Where it listens.
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningStandIn {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -11,7 +11,7 @@
 
 use crate::engine::unix_ms;
 use crate::faults::Faults;
-use crate::serve::{MAX_BODY_BYTES, Running};
+use crate::serve::{MAX_BODY_BYTES, RunningStandIn};
 
 /// One call, as the history tells it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -40,13 +40,13 @@
 ///
 /// # Errors
 /// When the port can't be listened on.
-pub async fn start(listen: &str) -> std::io::Result<Running> {
+pub async fn start(listen: &str) -> std::io::Result<RunningStandIn> {
     let router = Router::new()
         .hoop(affix_state::inject(Arc::new(Service::default())))
         .push(Router::with_path("faults").put(put_faults))
         .push(Router::with_path("history").get(history))
         .push(Router::with_path("{**rest}").goal(call));
-    Running::start(listen, router).await
+    RunningStandIn::start(listen, router).await
 }
 
 fn service(depot: &Depot) -> Arc<Service> {
@@ -80,7 +80,7 @@
     };
     let faults = *service.faults.lock();
     tokio::time::sleep(faults.delay()).await;
-    faults.put_hints(res.headers_mut());
+    faults.insert_hint_headers(res.headers_mut());
     if faults.down || faults.rest_s.is_some() {
         res.status_code(StatusCode::SERVICE_UNAVAILABLE);
     } else if answer["method"] == "POST" {
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 
 use crate::faults::Faults;
-use crate::serve::{MAX_BODY_BYTES, Running};
+use crate::serve::{MAX_BODY_BYTES, RunningStandIn};
 
 /// Seed of the choice which answers are lost.
 const SEED: u64 = 7;
@@ -30,7 +30,7 @@
 
 /// Calls that were counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Counts {
+pub struct CallCounts {
     /// Reads, lists and host lists.
     pub reads: u64,
     /// Writes that were tried.
@@ -47,7 +47,7 @@
     objects: HashMap<String, BTreeMap<String, (u64, Value)>>,
     hosts: Vec<(Instant, Vec<Host>)>,
     faults: Faults,
-    counts: Counts,
+    counts: CallCounts,
     history: Vec<Value>,
     rng: StdRng,
 }
@@ -61,24 +61,24 @@
 ///
 /// # Errors
 /// When the port can't be listened on.
-pub async fn start(listen: &str) -> std::io::Result<Running> {
+pub async fn start(listen: &str) -> std::io::Result<RunningStandIn> {
     let store = Arc::new(Store {
         state: Mutex::new(State {
             objects: HashMap::new(),
             hosts: Vec::new(),
             faults: Faults::default(),
-            counts: Counts::default(),
+            counts: CallCounts::default(),
             history: Vec::new(),
             rng: StdRng::seed_from_u64(SEED),
         }),
         changed: Notify::new(),
     });
-    Running::start(listen, routes(store)).await
+    RunningStandIn::start(listen, routes(store)).await
 }
 
 fn routes(store: Arc<Store>) -> Router {
     let api = Router::with_path("v1")
-        .hoop(show_faults)
+        .hoop(inject_faults)
         .push(Router::with_path("objects/{kind}").get(list))
         .push(Router::with_path("objects/{kind}/{name}").get(read).put(write))
         .push(Router::with_path("watch/{kind}/{name}").get(watch))
@@ -97,12 +97,12 @@
     Arc::clone(store.expect("the store is injected into every route"))
 }
 
-fn place(req: &Request) -> (String, String) {
+fn object_path(req: &Request) -> (String, String) {
     (req.param("kind").unwrap_or_default(), req.param("name").unwrap_or_default())
 }
 
 #[handler]
-async fn show_faults(depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn inject_faults(depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
     let faults = store(depot).state.lock().faults;
     tokio::time::sleep(faults.delay()).await;
     if faults.down {
@@ -113,7 +113,7 @@
 
 #[handler]
 async fn read(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let (kind, name) = place(req);
+    let (kind, name) = object_path(req);
     let store = store(depot);
     let mut state = store.state.lock();
     state.counts.reads += 1;
@@ -131,7 +131,7 @@
 
 #[handler]
 async fn write(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let (kind, name) = place(req);
+    let (kind, name) = object_path(req);
     let expect: u64 = req.query("if_version").unwrap_or(0);
     let payload = req.payload_with_max_size(MAX_BODY_BYTES).await;
     let Some(body) = payload.ok().cloned() else {
@@ -171,7 +171,7 @@
 
 #[handler]
 async fn watch(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    let (kind, name) = place(req);
+    let (kind, name) = object_path(req);
     let after: u64 = req.query("after").unwrap_or(0);
     let wait: u64 = req.query("timeout_ms").unwrap_or(0);
     let deadline = Instant::now() + Duration::from_millis(wait.min(MAX_WATCH_MS));
@@ -227,7 +227,7 @@
 async fn put_hosts(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     match req.parse_json::<Vec<Host>>().await {
         Ok(hosts) => store(depot).state.lock().hosts.push((Instant::now(), hosts)),
-        Err(e) => refuse(res, &e),
+        Err(e) => render_bad_request(res, &e),
     }
 }
 
@@ -235,11 +235,11 @@
 async fn put_faults(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     match req.parse_json::<Faults>().await {
         Ok(faults) => store(depot).state.lock().faults = faults,
-        Err(e) => refuse(res, &e),
+        Err(e) => render_bad_request(res, &e),
     }
 }
 
-fn refuse(res: &mut Response, e: &impl std::fmt::Display) {
+fn render_bad_request(res: &mut Response, e: &impl std::fmt::Display) {
     res.status_code(StatusCode::BAD_REQUEST);
     res.render(Text::Plain(e.to_string()));
 }
