--- a/crates/proofs/src/caller.rs
+++ b/crates/proofs/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they send requests, and write down what they were told.
+//! Callers: they send requests and record the outcome of each attempt.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 
 use crate::table::{API_KEY, MODEL};
 
-/// What ends a stream.
+/// Last event of a complete stream.
 const END_MARK: &[u8] = b"data: [DONE]\n\n";
 
-/// What became of one attempt, as its caller saw it.
+/// Outcome of one attempt, as its caller sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptOutcome {
-    /// The whole answer.
+    /// The response is complete.
     Done {
-        /// The text.
+        /// Text of the response.
         text: String,
-        /// Tokens generated, as the answer says.
+        /// Number of tokens generated, from the usage of the response.
         output_tokens: u64,
     },
-    /// It ran nowhere.
+    /// The daemon answered that no server ran the request.
     NotRun {
-        /// The machine-readable code.
+        /// Error code.
         code: String,
-        /// When to come back.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// The machine-readable code, or what the connection did.
+        /// Error code, or a description of how the connection failed.
         code: String,
     },
 }
@@ -36,35 +36,35 @@
 /// One attempt of a caller.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The idempotency key.
+    /// Idempotency key of the request.
     pub key: String,
-    /// The daemon's name for the attempt.
+    /// The daemon's id of the attempt.
     pub attempt: Option<String>,
-    /// The run that the answer came from.
+    /// Id of the run that produced the response.
     pub run: Option<String>,
-    /// What the caller was told.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
 /// A chat request.
 #[derive(Debug, Clone)]
 pub struct ChatRequest {
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: String,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Output limit.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
-    /// Whether to ask for a stream.
+    /// Whether to request a stream.
     pub stream: bool,
-    /// Whether it may run only once.
+    /// Whether the request must not run more than once.
     pub non_repeatable: bool,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the complete response.
     pub timeout: Duration,
 }
 
 impl ChatRequest {
-    /// A streamed request with this key.
+    /// Creates a repeatable, streamed request with this key and a prompt derived from it.
     pub fn new(key: impl Into<String>) -> Self {
         let key = key.into();
         ChatRequest {
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Asks for this many tokens.
+    /// Sets the maximum number of output tokens.
     #[must_use]
     pub fn max_tokens(mut self, tokens: u64) -> Self {
         self.max_tokens = tokens;
         self
     }
 
-    /// Asks for the whole answer at once.
+    /// Requests a response that is not streamed.
     #[must_use]
     pub fn unstreamed(mut self) -> Self {
         self.stream = false;
@@ -98,7 +98,7 @@
         self
     }
 
-    /// Waits this long for the whole answer.
+    /// Sets the time for which the caller waits for the complete response.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Sends requests to daemons.
+/// HTTP client that sends requests to daemons with the workspace's key.
 #[derive(Debug, Clone)]
 pub struct Caller {
     http: reqwest::Client,
@@ -115,12 +115,12 @@
 impl Default for Caller {
     fn default() -> Self {
         let http = reqwest::Client::builder().no_proxy().build();
-        Caller { http: http.expect("an HTTP client without TLS needs nothing from the machine") }
+        Caller { http: http.expect("an HTTP client without TLS needs no system resources") }
     }
 }
 
 impl Caller {
-    /// Sends a chat request to the daemon at this address.
+    /// Sends a chat request to the daemon at this address and returns the attempt.
     pub async fn chat(&self, daemon: &str, request: &ChatRequest) -> Attempt {
         let mut body = json!({
             "model": MODEL, "max_tokens": request.max_tokens, "stream": request.stream,
@@ -156,35 +156,35 @@
         attempt.attempt = attempt_header(&res);
         let is_ok = res.status().is_success();
         let Some(body) = read_body(res).await else {
-            attempt.outcome = unknown_outcome("broken off");
+            attempt.outcome = unknown_outcome("connection broken");
             return attempt;
         };
         let (outcome, run) = if !is_ok {
             (parse_error_body(&serde_json::from_str(&body).unwrap_or_default()), None)
         } else if request.stream {
-            read_stream(&body)
+            parse_stream(&body)
         } else {
-            read_whole(&serde_json::from_str(&body).unwrap_or_default())
+            parse_completion(&serde_json::from_str(&body).unwrap_or_default())
         };
         attempt.outcome = outcome;
         attempt.run = run;
         attempt
     }
 
-    /// Sends the same request to daemons in turn until it is done, or `tries`
-    /// are used up.
+    /// Sends the same request to the daemons in turn until it is done, at most `max_attempts`
+    /// times, and returns all attempts.
     pub async fn chat_until_done(
         &self,
         daemons: &[String],
         request: &ChatRequest,
-        tries: usize,
+        max_attempts: usize,
     ) -> Vec<Attempt> {
         let mut attempts = Vec::new();
-        for n in 0..tries {
+        for n in 0..max_attempts {
             let attempt = self.chat(&daemons[n % daemons.len()], request).await;
-            let done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
+            let is_done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
             attempts.push(attempt);
-            if done {
+            if is_done {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -192,7 +192,7 @@
         attempts
     }
 
-    /// Posts to a plain service; none when no answer comes.
+    /// Posts to a plain service through a daemon; `None` if no complete response arrives.
     pub async fn post(
         &self,
         daemon: &str,
@@ -210,8 +210,8 @@
     }
 }
 
-/// Reads an answer as callers do: a stream has ended at its end mark, whatever
-/// becomes of the connection afterwards. None when it breaks off before.
+/// Reads a response body. Like other callers, it takes a stream as complete at its end mark,
+/// whatever happens to the connection afterwards. Returns `None` if the connection breaks before.
 async fn read_body(mut res: reqwest::Response) -> Option<String> {
     let mut bytes = Vec::new();
     while let Some(chunk) = res.chunk().await.ok()? {
@@ -223,14 +223,14 @@
     String::from_utf8(bytes).ok()
 }
 
-/// The answer to a call of a plain service.
+/// The response to a call of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceResponse {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The daemon's name for the attempt.
+    /// The daemon's id of the attempt.
     pub attempt: Option<String>,
-    /// The body.
+    /// Body of the response.
     pub body: Value,
 }
 
@@ -247,7 +247,7 @@
     AttemptOutcome::NotRun { code: code.to_owned(), retry_after_ms }
 }
 
-/// Reads what an error body tells.
+/// Returns the outcome reported by an error body.
 pub fn parse_error_body(body: &Value) -> AttemptOutcome {
     let error = &body["error"];
     let code = error["code"].as_str().unwrap_or("unreadable");
@@ -257,7 +257,8 @@
     }
 }
 
-fn read_whole(body: &Value) -> (AttemptOutcome, Option<String>) {
+/// Returns the outcome and the run id of a response that was not streamed.
+fn parse_completion(body: &Value) -> (AttemptOutcome, Option<String>) {
     let run = body["id"].as_str().map(str::to_owned);
     let text = body["choices"][0]["message"]["content"].as_str();
     let tokens = body["usage"]["completion_tokens"].as_u64();
@@ -269,7 +270,8 @@
     }
 }
 
-fn read_stream(body: &str) -> (AttemptOutcome, Option<String>) {
+/// Returns the outcome and the run id of a streamed response.
+fn parse_stream(body: &str) -> (AttemptOutcome, Option<String>) {
     let mut text = String::new();
     let mut run = None;
     let mut tokens = None;
@@ -280,13 +282,13 @@
                 None => (unknown_outcome("no usage"), run),
             };
         }
-        let piece: Value = serde_json::from_str(data).unwrap_or_default();
-        if piece["error"].is_object() {
-            return (parse_error_body(&piece), run);
+        let chunk: Value = serde_json::from_str(data).unwrap_or_default();
+        if chunk["error"].is_object() {
+            return (parse_error_body(&chunk), run);
         }
-        run = piece["id"].as_str().map(str::to_owned).or(run);
-        text += piece["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
-        tokens = piece["usage"]["completion_tokens"].as_u64().or(tokens);
+        run = chunk["id"].as_str().map(str::to_owned).or(run);
+        text += chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
+        tokens = chunk["usage"]["completion_tokens"].as_u64().or(tokens);
     }
     (unknown_outcome("no end mark"), run)
 }
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -1,4 +1,4 @@
-//! Checkers: they read histories and name what broke a promise.
+//! Checkers: they examine the recorded histories and describe the first violated guarantee.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,24 +10,27 @@
 
 use crate::caller::{Attempt, AttemptOutcome};
 
-/// A promise that a history breaks.
+/// Description of a violated guarantee.
 pub type Violation = String;
 
-/// No grant exceeds what its budget allowed, in any version of any shard.
+/// Checks that the grants of a budget never exceed it, in any version of any shard. Returns the
+/// number of shard versions checked.
 pub fn grants_within_budgets(shards: &[Shard]) -> Result<usize, Violation> {
     for shard in shards {
         for (name, ledger) in &shard.budgets {
             if ledger.committed() > ledger.total() as i64 {
                 let (committed, total) = (ledger.committed(), ledger.total());
-                return Err(format!("{committed} tokens of '{name}' are granted of {total}"));
+                return Err(format!(
+                    "{committed} tokens of budget '{name}' are granted, which has {total}"
+                ));
             }
         }
     }
     Ok(shards.len())
 }
 
-/// Tokens that ran at the engines and in calls never exceed the budget. The
-/// sum only grows, so its end stands for every moment before.
+/// Checks that the tokens spent at the engines and by calls do not exceed the budget, and returns
+/// their sum. The sum never decreases, so checking it at the end is enough.
 pub fn spend_within_budget(
     runs: &[RunRecord],
     call_tokens: u64,
@@ -41,7 +44,7 @@
     Ok(spent)
 }
 
-/// Every bill in the log, in its order.
+/// Returns all bills in the request log, in log order.
 pub fn bills(segments: &[Segment]) -> Vec<Bill> {
     let entries = segments.iter().flat_map(|segment| &segment.entries);
     let bills = entries.filter_map(|entry| match entry {
@@ -51,8 +54,8 @@
     bills.collect()
 }
 
-/// Every request that was answered whole has one bill, none has more, and no
-/// bill stands for a request that nobody sent.
+/// Checks that every request with a complete response has one bill, that no request has more than
+/// one, and that there is no bill for a request that was not sent.
 pub fn billed_once(
     attempts: &[Attempt],
     bills: &[Bill],
@@ -62,40 +65,45 @@
     for bill in bills {
         *count.entry(bill.request).or_default() += 1;
     }
-    let asked: HashSet<_> = attempts.iter().map(|attempt| request_of(&attempt.key)).collect();
-    if let Some((request, _)) = count.iter().find(|(request, _)| !asked.contains(*request)) {
-        return Err(format!("a bill stands for {request}, which nobody asked for"));
+    let sent: HashSet<_> = attempts.iter().map(|attempt| request_of(&attempt.key)).collect();
+    if let Some((request, _)) = count.iter().find(|(request, _)| !sent.contains(*request)) {
+        return Err(format!("request {request} has a bill but was not sent"));
     }
     if let Some((request, n)) = count.iter().find(|(_, n)| **n > 1) {
-        return Err(format!("{n} bills stand for {request}"));
+        return Err(format!("request {request} has {n} bills"));
     }
     for attempt in attempts {
-        let done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
-        if done && !count.contains_key(&request_of(&attempt.key)) {
-            return Err(format!("'{}' was answered and has no bill", attempt.key));
+        let is_done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
+        if is_done && !count.contains_key(&request_of(&attempt.key)) {
+            return Err(format!("request '{}' was answered but has no bill", attempt.key));
         }
     }
     Ok(())
 }
 
-/// Every whole answer is that of its own run, from the first token to the last.
+/// Checks that every complete response contains all tokens of its own run in order, and returns
+/// the number of complete responses.
 pub fn complete_answers(attempts: &[Attempt]) -> Result<usize, Violation> {
     let mut complete = 0;
     for attempt in attempts {
         let AttemptOutcome::Done { text, output_tokens } = &attempt.outcome else { continue };
         let Some(run) = &attempt.run else {
-            return Err(format!("'{}' has an answer without a run", attempt.key));
+            return Err(format!("the response to '{}' has no run id", attempt.key));
         };
         let expected: String = (0..*output_tokens).map(|n| token_text(run, n)).collect();
         if *text != expected {
-            return Err(format!("'{}' got '{text}' in place of '{expected}'", attempt.key));
+            return Err(format!(
+                "the response to '{}' is '{text}', expected '{expected}'",
+                attempt.key
+            ));
         }
         complete += 1;
     }
     Ok(complete)
 }
 
-/// No attempt that was told "not run" stands in the history of any server.
+/// Checks that no attempt answered with "not run" is in the history of any server, and returns the
+/// number of these attempts.
 pub fn not_run_never_executed(
     attempts: &[Attempt],
     runs: &[RunRecord],
@@ -112,13 +120,13 @@
         let AttemptOutcome::NotRun { code, .. } = &attempt.outcome else { continue };
         not_run_count += 1;
         if attempt.attempt.as_deref().is_some_and(|id| ran.contains(id)) {
-            return Err(format!("'{}' was told not run ({code}) and ran", attempt.key));
+            return Err(format!("'{}' was answered not run ({code}) but ran", attempt.key));
         }
     }
     Ok(not_run_count)
 }
 
-/// Requests that were claimed, by the text of their hash.
+/// Returns the hashes of all claimed requests in the request log, as text.
 pub fn claimed_requests(segments: &[Segment]) -> HashSet<String> {
     let entries = segments.iter().flat_map(|segment| &segment.entries);
     let claims = entries.filter_map(|entry| match entry {
@@ -128,25 +136,26 @@
     claims.collect()
 }
 
-/// No request ran more than once; `runs` names the run of each start.
+/// Checks that no run id occurs more than once in `runs`, and returns their number.
 pub fn at_most_once<'a>(runs: impl Iterator<Item = &'a str>) -> Result<usize, Violation> {
     let mut seen = HashSet::new();
     for run in runs {
         if !seen.insert(run) {
-            return Err(format!("{run} ran more than once"));
+            return Err(format!("run {run} was started more than once"));
         }
     }
     Ok(seen.len())
 }
 
-/// Revisions in the order that a daemon adopted them never fall.
+/// Checks that the table revisions adopted by a daemon increase, according to its log, and returns
+/// the number of adoptions.
 pub fn revisions_increase(log: &str) -> Result<usize, Violation> {
     let lines = log.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
     let mut last = 0;
     let mut count = 0;
     for line in lines {
         if line["msg"] == "serving" {
-            // A new start of the daemon knows nothing of the one before.
+            // A restarted daemon does not know the revision of its previous run.
             last = 0;
         }
         if line["msg"] != "table adopted" {
--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole system of separate processes on loopback.
+//! A complete system of separate processes on loopback: store, engines, services and daemons.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,31 +20,31 @@
 use crate::relay::Relay;
 use crate::table;
 
-/// The operators' token of every proof.
+/// The operators' token of every fleet.
 pub const OPERATOR_TOKEN: &str = "token-of-the-proof";
 
-/// Longest wait for something that has to come true.
+/// Longest wait for an expected state of a daemon.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval between two polls of a daemon.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Lines of each daemon's log that a failed proof shows: some two seconds of them.
+/// Number of lines of each daemon's log that a failed test prints: about two seconds.
 const LOG_TAIL_LINES: usize = 100;
 
 /// A daemon process and the links to and from it.
 pub struct DaemonProcess {
     /// The process.
     pub process: Process,
-    /// Where callers connect.
+    /// Address of the caller port.
     pub caller_address: String,
-    /// Where operators connect.
+    /// Address of the operator port.
     pub operator_address: String,
-    /// The link from peers to it.
+    /// The link from its peers to the daemon.
     pub peer_link: Relay,
-    /// Its link to the store.
+    /// The daemon's link to the store.
     pub store_link: Relay,
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
     config: PathBuf,
     log: PathBuf,
@@ -54,7 +54,7 @@
 pub struct StandIn {
     /// The process.
     pub process: Process,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
@@ -64,35 +64,35 @@
         StandIn { process, address }
     }
 
-    /// Sets its faults.
+    /// Sets the faults of the stand-in.
     pub async fn set_faults(&self, faults: Faults) {
         put(&self.address.to_string(), "faults", &faults).await;
     }
 
-    /// Its history.
+    /// Returns the history of the stand-in.
     pub async fn history<T: DeserializeOwned>(&self) -> T {
         get(&self.address.to_string(), "history").await
     }
 }
 
-/// What a fleet is made of.
+/// Composition and settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
     /// Tokens of the budget.
     pub tokens: u64,
-    /// Time between two tokens of an engine, in milliseconds.
+    /// Time per token of the engines, in milliseconds.
     pub step_ms: u64,
-    /// Whether engines ignore orders.
+    /// Whether the engines ignore orders.
     pub ignores_orders: bool,
-    /// A prompt with this in it crashes the engine that runs it.
+    /// Text in a prompt that crashes the engine that runs it.
     pub crash_on: Option<&'static str>,
-    /// Bounds and intervals of the daemons.
+    /// The `limits` section of the daemons' settings.
     pub limits: Value,
 }
 
@@ -115,17 +115,17 @@
     }
 }
 
-/// The processes of one proof.
+/// The processes of one test.
 pub struct Fleet {
-    /// The store.
+    /// The stand-in for the store.
     pub store: StandIn,
-    /// The engines.
+    /// The stand-ins for engines.
     pub engines: Vec<StandIn>,
-    /// The plain services.
+    /// The stand-ins for plain services.
     pub services: Vec<StandIn>,
     /// The daemons.
     pub daemons: Vec<DaemonProcess>,
-    /// The table as it was applied.
+    /// The table that was applied at the start.
     pub table: Value,
     dir: TempDir,
     limits: Value,
@@ -133,12 +133,12 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every daemon serves.
+    /// Starts all processes and waits until every daemon has the table and knows its peers.
     pub async fn start(config: &FleetConfig) -> Self {
         Fleet::start_with(config, |_| {}).await
     }
 
-    /// Starts everything with a table that was changed first.
+    /// Starts all processes like [`Fleet::start`], with a table modified by `change`.
     pub async fn start_with(config: &FleetConfig, change: impl FnOnce(&mut Value)) -> Self {
         let store = StandIn::start(&["store"]);
         let step = config.step_ms.to_string();
@@ -157,7 +157,7 @@
             |list: &[StandIn]| list.iter().map(|s| s.address.to_string()).collect::<Vec<_>>();
         let mut table = table::table(&addresses(&engines), &addresses(&services), config.tokens);
         change(&mut table);
-        let dir = tempfile::tempdir().expect("a temporary folder can be made");
+        let dir = tempfile::tempdir().expect("a temporary directory can be created");
         let limits = config.limits.clone();
         let mut fleet = Fleet {
             store,
@@ -178,7 +178,7 @@
         fleet
     }
 
-    /// Starts one more daemon.
+    /// Starts another daemon; its seed peers are the daemons started before.
     pub async fn add_daemon(&mut self, name: &str) {
         let peer_listen = self.addresses.next_address();
         let peer_link = Relay::start(peer_listen.clone()).await;
@@ -209,19 +209,20 @@
         });
     }
 
-    /// Starts a daemon again that has ended, at the same addresses.
+    /// Restarts a daemon that has ended, at the same addresses, and waits until it answers
+    /// operators.
     pub async fn restart_daemon(&mut self, index: usize) {
         let daemon = &mut self.daemons[index];
         daemon.process = start_daemon(&daemon.config, &daemon.log);
         self.wait_until_serving(index).await;
     }
 
-    /// Puts the daemons into the platform's host list.
+    /// Sets the platform's host list to all daemons.
     pub async fn publish_hosts(&self) {
         self.set_hosts(&self.hosts()).await;
     }
 
-    /// The host list with every daemon live.
+    /// Returns the host list with every daemon live.
     pub fn hosts(&self) -> Vec<Host> {
         let host = |daemon: &DaemonProcess| {
             serde_json::from_value(json!({
@@ -229,7 +230,7 @@
                 "state": "live",
             }))
         };
-        self.daemons.iter().map(|d| host(d).expect("the line is a host")).collect()
+        self.daemons.iter().map(|d| host(d).expect("the JSON is a valid host")).collect()
     }
 
     /// Sets the platform's host list.
@@ -237,7 +238,7 @@
         put(&self.store.address.to_string(), "hosts", &hosts).await;
     }
 
-    /// Applies the fleet's table with the operators' client.
+    /// Applies the fleet's table through the first daemon with the operators' client.
     pub async fn apply_table(&self) {
         let path = self.dir.path().join("table.json");
         std::fs::write(&path, self.table.to_string()).expect("the table can be written");
@@ -246,7 +247,7 @@
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
 
-    /// Runs the operators' client against a daemon.
+    /// Runs the operators' client against a daemon and returns its output.
     pub fn run_cli(&self, daemon: usize, args: &[&str]) -> std::process::Output {
         Command::new(binary("bankcove"))
             .args(args)
@@ -256,14 +257,17 @@
             .expect("the operators' client can be started")
     }
 
-    /// What a daemon's operator port answers.
+    /// Returns the response of a daemon's operator port; `None` if it is an error or missing.
     pub async fn operator_get(&self, daemon: usize, path: &str) -> Option<Value> {
         let url = format!("http://{}/v1/{path}", self.daemons[daemon].operator_address);
         let req = http().get(url).bearer_auth(OPERATOR_TOKEN).timeout(Duration::from_secs(5));
         req.send().await.ok()?.error_for_status().ok()?.json().await.ok()
     }
 
-    /// Waits until every daemon has the table in force and knows its peers.
+    /// Waits until every daemon has adopted the table and knows its peers.
+    ///
+    /// # Panics
+    /// If it takes too long.
     pub async fn wait_until_ready(&self) {
         let revision =
             self.operator_get(0, "status").await.map_or(0, |s| s["revision"].as_u64().unwrap_or(0));
@@ -278,14 +282,17 @@
     }
 
     /// Waits until a daemon answers operators.
+    ///
+    /// # Panics
+    /// If it takes too long.
     pub async fn wait_until_serving(&self, index: usize) {
         self.wait_for_status(index, |_| true).await;
     }
 
-    /// Waits until a daemon's status fulfils `wanted`.
+    /// Waits until a daemon's status satisfies `wanted`.
     ///
     /// # Panics
-    /// When it does not for a long time.
+    /// If it takes too long; the message has the last status and a dump.
     pub async fn wait_for_status(&self, index: usize, wanted: impl Fn(&Value) -> bool) {
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -296,16 +303,16 @@
             if tokio::time::Instant::now() >= deadline {
                 let dump = self.operator_get(index, "dump").await.unwrap_or_default();
                 let name = &self.daemons[index].name;
-                panic!("waited in vain for {name}; last: {status:?}; dump: {dump}");
+                panic!("timed out waiting for {name}; last status: {status:?}; dump: {dump}");
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until a daemon holds so many requests for blocked.
+    /// Waits until a daemon lists exactly `count` requests as blocked.
     ///
     /// # Panics
-    /// When it does not for a long time.
+    /// If it takes too long.
     pub async fn wait_for_blocked(&self, index: usize, count: usize) {
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -314,13 +321,13 @@
                 return;
             }
             let name = &self.daemons[index].name;
-            assert!(tokio::time::Instant::now() < deadline, "{name} has {blocked:?}");
-            tokio::time::sleep(POLL).await;
+            assert!(tokio::time::Instant::now() < deadline, "{name} lists {blocked:?}");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Everything that ran at the engines that still live. What a killed
-    /// engine ran is gone with it; checks of it can only be too lenient.
+    /// Returns all runs of the engines that are still running. The runs of a killed engine are
+    /// lost with it, so checks of them can only be too lenient.
     pub async fn live_runs(&mut self) -> Vec<RunRecord> {
         let mut runs = Vec::new();
         for engine in &mut self.engines {
@@ -331,7 +338,7 @@
         runs
     }
 
-    /// Every call of the plain services.
+    /// Returns all calls received by the plain services.
     pub async fn service_calls(&self) -> Vec<CallRecord> {
         let mut calls = Vec::new();
         for service in &self.services {
@@ -340,33 +347,33 @@
         calls
     }
 
-    /// Every write that the store accepted, in order.
+    /// Returns all writes that the store accepted, in order.
     pub async fn store_writes(&self) -> Vec<Value> {
         self.store.history().await
     }
 
-    /// Calls that the store counted.
+    /// Returns the call counts of the store.
     pub async fn store_counts(&self) -> CallCounts {
         get(&self.store.address.to_string(), "counts").await
     }
 
-    /// A daemon's process and the end of its log.
+    /// Returns the state of a daemon's process and the end of its log.
     fn log_tail(&self, index: usize) -> String {
         let daemon = &self.daemons[index];
         let log = self.log(index);
         let lines: Vec<&str> = log.lines().collect();
         let tail = lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n");
         let state = daemon.process.state();
-        format!("{} ({state}), {} lines of log, the last:\n{tail}", daemon.name, lines.len())
+        format!("{} ({state}), end of its {} log lines:\n{tail}", daemon.name, lines.len())
     }
 
-    /// The text of a daemon's log.
+    /// Returns the log of a daemon.
     pub fn log(&self, index: usize) -> String {
         std::fs::read_to_string(&self.daemons[index].log).unwrap_or_default()
     }
 }
 
-/// Segments of the request log among the store's writes, in log order.
+/// Returns the segments of the request log among the store's writes, in log order.
 pub fn segments(writes: &[Value]) -> Vec<Segment> {
     let of_log =
         |write: &&Value| write["kind"].as_str().is_some_and(|kind| kind.starts_with("log-"));
@@ -382,15 +389,15 @@
     segments.into_iter().map(|(_, _, segment)| segment).collect()
 }
 
-/// Budget shards among the store's writes, in the order of the writes.
+/// Returns the budget shards among the store's writes, in the order of the writes.
 pub fn shards(writes: &[Value]) -> Vec<Shard> {
     let budgets = writes.iter().filter(|write| write["kind"] == "budgets");
     budgets.filter_map(|write| serde_json::from_value(write["value"].clone()).ok()).collect()
 }
 
 impl Drop for Fleet {
-    /// A proof that fails shows what its daemons did: the folder with their logs goes
-    /// with it, and a failure seen once in fifty runs is not seen again when wanted.
+    /// Prints the end of the daemons' logs if the test has failed. The directory with the logs is
+    /// deleted with the fleet, and a failure that occurs once in fifty runs is hard to reproduce.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -407,16 +414,16 @@
 
 fn http() -> reqwest::Client {
     let client = reqwest::Client::builder().no_proxy().build();
-    client.expect("an HTTP client without TLS needs nothing from the machine")
+    client.expect("an HTTP client without TLS needs no system resources")
 }
 
 async fn put(address: &str, path: &str, value: &impl serde::Serialize) {
     let req = http().put(format!("http://{address}/{path}")).json(value);
     let res = req.send().await.expect("the stand-in answers");
-    assert!(res.status().is_success(), "the stand-in refused: {}", res.status());
+    assert!(res.status().is_success(), "the stand-in answered {}", res.status());
 }
 
 async fn get<T: DeserializeOwned>(address: &str, path: &str) -> T {
     let res = http().get(format!("http://{address}/{path}")).send().await;
-    res.expect("the stand-in answers").json().await.expect("the answer has its shape")
+    res.expect("the stand-in answers").json().await.expect("the response has the expected type")
 }
--- a/crates/proofs/src/lib.rs
+++ b/crates/proofs/src/lib.rs
@@ -1,5 +1,5 @@
-//! The harness of the proofs: real processes, real kills and freezes, links
-//! that can be cut, and checkers that read the histories of what happened.
+//! Test harness that runs a fleet of real processes, injects faults (killed and stopped processes,
+//! cut links, faulty stand-ins) and checks the recorded histories for violated guarantees.
 
 pub mod caller;
 pub mod check;
--- a/crates/proofs/src/process.rs
+++ b/crates/proofs/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a proof starts, freezes, kills and ends.
+//! Processes that a test starts, pauses, kills and terminates.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,19 +11,19 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// First port of a fleet.
+/// Port below the first one of a fleet.
 const FIRST_PORT: u16 = 20_000;
 
-/// A process; dropping it kills it.
+/// A child process, which is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
-/// Path of a binary that cargo built next to this test.
+/// Returns the path of a binary that cargo built next to this test.
 ///
 /// # Panics
-/// When the test's own path is not known.
+/// If the path of the test's own binary is unknown.
 pub fn binary(name: &str) -> PathBuf {
     let mut path = std::env::current_exe().expect("a running program has a path");
     path.pop();
@@ -33,8 +33,8 @@
     path.join(name)
 }
 
-/// Addresses of one fleet: a loopback number of its own, so that fleets that
-/// run at the same time never meet on a port.
+/// Addresses of one fleet. Each fleet has its own loopback IP address, so that fleets running at
+/// the same time never use the same port.
 #[derive(Debug)]
 pub struct LoopbackAddresses {
     ip: Ipv4Addr,
@@ -42,19 +42,19 @@
 }
 
 impl LoopbackAddresses {
-    /// Addresses that no other fleet of this machine uses.
+    /// Chooses an IP address that no other fleet on this machine uses.
     pub fn new() -> Self {
         static FLEETS: AtomicU32 = AtomicU32::new(0);
         let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
         let [.., high, low] = pid.to_be_bytes();
-        // 127.0.*.* is left to everybody else.
+        // 127.0.*.* is left to other programs.
         let second = 1 + high % 250;
         let last = 1 + (fleet % 250) as u8;
         LoopbackAddresses { ip: Ipv4Addr::new(127, second, low, last), next_port: FIRST_PORT }
     }
 
-    /// The next address.
+    /// Returns an unused address.
     pub fn next_address(&mut self) -> String {
         self.next_port += 1;
         format!("{}:{}", self.ip, self.next_port)
@@ -68,10 +68,10 @@
 }
 
 impl Process {
-    /// Starts a program; its output goes to `log`.
+    /// Starts a program whose output is appended to `log`.
     ///
     /// # Panics
-    /// When it can't be started.
+    /// If it can't be started.
     pub fn start(name: &str, args: &[&str], log: &std::path::Path) -> Self {
         let log = std::fs::File::options().create(true).append(true).open(log);
         let log = log.expect("the log file can be opened");
@@ -85,10 +85,10 @@
         Process { child }
     }
 
-    /// Starts a stand-in and waits for the address that it prints.
+    /// Starts a stand-in and returns it with the address that it prints.
     ///
     /// # Panics
-    /// When it can't be started.
+    /// If it can't be started.
     pub fn start_standin(args: &[&str]) -> (Self, SocketAddr) {
         let mut child = Command::new(binary("bankcove"))
             .arg("standin")
@@ -100,57 +100,57 @@
         let stdout = child.stdout.take().expect("standard output is piped");
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line).expect("the stand-in prints its address");
-        let ready: Value = serde_json::from_str(&line).expect("the address is JSON");
+        let ready: Value = serde_json::from_str(&line).expect("the stand-in prints JSON");
         let address = ready["address"].as_str().and_then(|text| text.parse().ok());
-        (Process { child }, address.expect("the line holds an address"))
+        (Process { child }, address.expect("the line has an address"))
     }
 
-    /// Ends it without a chance to clean up.
+    /// Kills the process with SIGKILL, so that it can't clean up, and waits for its end.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         self.wait();
     }
 
-    /// Stops it in its tracks.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks it to stop as planned.
+    /// Requests a planned stop with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Waits until it has ended; whether it ended well.
+    /// Waits until the process has exited and returns whether its exit status is success.
     pub fn wait(&mut self) -> bool {
         self.child.wait().is_ok_and(|status| status.success())
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// What the system tells of it, in words; it can still be waited for.
+    /// Describes the state of the process without reaping it, so that it can still be waited for.
     pub fn state(&self) -> String {
         let pid = Pid::from_raw(self.child.id() as i32);
-        let look = WaitPidFlag::WEXITED | WaitPidFlag::WNOHANG | WaitPidFlag::WNOWAIT;
-        match waitid(Id::Pid(pid), look) {
+        let flags = WaitPidFlag::WEXITED | WaitPidFlag::WNOHANG | WaitPidFlag::WNOWAIT;
+        match waitid(Id::Pid(pid), flags) {
             Ok(WaitStatus::StillAlive) => "running".to_owned(),
             Ok(status) => format!("{status:?}"),
-            Err(e) => format!("not known: {e}"),
+            Err(e) => format!("unknown: {e}"),
         }
     }
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        // A process that has ended needs no signal.
-        let _ended = kill(pid, signal);
+        // Fails only if the process has exited, and then no signal is needed.
+        let _exited = kill(pid, signal);
     }
 }
 
--- a/crates/proofs/src/relay.rs
+++ b/crates/proofs/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be cut, one way or both.
+//! TCP relay for a link between two processes, which can be cut in one or both directions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Bytes moved at once.
-const BUFFER: usize = 16 * 1024;
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Pause between two looks whether a cut has been mended.
-const POLL: std::time::Duration = std::time::Duration::from_millis(10);
+/// Interval between two checks of whether a cut link has been restored.
+const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
 #[derive(Debug, Default)]
 struct Cuts {
@@ -21,7 +21,8 @@
     from_target: AtomicBool,
 }
 
-/// A relay; bytes that meet a cut wait, as on a network that drops packets.
+/// A TCP relay. Data on a cut link is held back until the link is restored, like on a network that
+/// drops packets.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -30,10 +31,10 @@
 }
 
 impl Relay {
-    /// Relays connections to `target`.
+    /// Starts a relay of connections to `target`.
     ///
     /// # Panics
-    /// When the loopback has no port left.
+    /// If loopback has no free port.
     pub async fn start(target: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
         let address = listener.local_addr().expect("a listener has an address");
@@ -42,29 +43,29 @@
         Relay { address, cuts, task }
     }
 
-    /// Where to connect.
+    /// Returns the address to connect to.
     pub fn address(&self) -> String {
         self.address.to_string()
     }
 
-    /// Cuts both ways.
+    /// Cuts both directions.
     pub fn cut(&self) {
         self.cut_to_target(true);
         self.cut_from_target(true);
     }
 
-    /// Mends both ways.
+    /// Restores both directions.
     pub fn restore(&self) {
         self.cut_to_target(false);
         self.cut_from_target(false);
     }
 
-    /// Cuts or mends the way to the target.
+    /// Cuts or restores the direction to the target.
     pub fn cut_to_target(&self, cut: bool) {
         self.cuts.to_target.store(cut, Ordering::SeqCst);
     }
 
-    /// Cuts or mends the way back.
+    /// Cuts or restores the direction from the target.
     pub fn cut_from_target(&self, cut: bool) {
         self.cuts.from_target.store(cut, Ordering::SeqCst);
     }
@@ -78,34 +79,36 @@
 
 async fn accept(listener: TcpListener, target: String, cuts: Arc<Cuts>) {
     loop {
-        let Ok((near, _)) = listener.accept().await else { return };
+        let Ok((client, _)) = listener.accept().await else { return };
         let target = target.clone();
         let cuts = Arc::clone(&cuts);
         tokio::spawn(async move {
-            wait_for(&cuts.to_target).await;
-            let Ok(far) = TcpStream::connect(target).await else { return };
-            let (near_rx, near_tx) = near.into_split();
-            let (far_rx, far_tx) = far.into_split();
-            let back = Arc::clone(&cuts);
-            tokio::spawn(async move { carry(near_rx, far_tx, &cuts.to_target).await });
-            tokio::spawn(async move { carry(far_rx, near_tx, &back.from_target).await });
+            wait_until_restored(&cuts.to_target).await;
+            let Ok(upstream) = TcpStream::connect(target).await else { return };
+            let (client_rx, client_tx) = client.into_split();
+            let (target_rx, target_tx) = upstream.into_split();
+            let return_cuts = Arc::clone(&cuts);
+            tokio::spawn(async move { copy(client_rx, target_tx, &cuts.to_target).await });
+            tokio::spawn(async move { copy(target_rx, client_tx, &return_cuts.from_target).await });
         });
     }
 }
 
-async fn carry(mut rx: OwnedReadHalf, mut tx: OwnedWriteHalf, cut: &AtomicBool) {
-    let mut buf = vec![0; BUFFER];
+/// Copies data in one direction until the connection ends; waits while the direction is cut.
+async fn copy(mut rx: OwnedReadHalf, mut tx: OwnedWriteHalf, cut: &AtomicBool) {
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let Ok(count) = rx.read(&mut buf).await else { return };
-        wait_for(cut).await;
+        wait_until_restored(cut).await;
         if count == 0 || tx.write_all(&buf[..count]).await.is_err() {
             return;
         }
     }
 }
 
-async fn wait_for(cut: &AtomicBool) {
+/// Waits while the direction is cut.
+async fn wait_until_restored(cut: &AtomicBool) {
     while cut.load(Ordering::SeqCst) {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/proofs/src/scenario.rs
+++ b/crates/proofs/src/scenario.rs
@@ -1,4 +1,5 @@
-//! A load, faults beside it, and an audit of what happened.
+//! Fault scenarios: a load of requests during which faults are injected, and an audit of the
+//! recorded histories afterwards.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,61 +15,61 @@
 use crate::check::{self, Violation};
 use crate::fleet::{Fleet, FleetConfig, segments, shards};
 
-/// How long the load lasts while faults come and go.
+/// Duration of the load, during which the faults begin and end.
 const LOAD_DURATION: Duration = Duration::from_secs(4);
 
-/// When faults begin, and when they are mended.
+/// Time from the start of the load to the start of the faults, and from there to their end.
 const FAULT_START: Duration = Duration::from_millis(800);
 const FAULT_DURATION: Duration = Duration::from_millis(2_000);
 
-/// Price of a call in the table of the proofs.
+/// Price of a call in the table of the tests, in tokens.
 const CALL_TOKENS: u64 = 5;
 
-/// How long callers wait for one attempt.
+/// Time for which callers wait for one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Tries of one request.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Tokens of a top-up.
+/// Number of tokens of a top-up.
 const TOP_UP_TOKENS: u64 = 1_000;
 
-/// Something that fails.
+/// A fault that is injected during the load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A daemon is killed with streams open, and started again.
+    /// A daemon is killed while streams are open, and restarted.
     KillDaemon,
-    /// A daemon is frozen, then goes on.
+    /// A daemon is suspended, then resumed.
     FreezeDaemon,
-    /// A daemon's peers can't reach it.
+    /// A daemon can't be reached by its peers.
     CutPeers,
     /// A daemon can't reach the store.
     CutStore,
-    /// A daemon's writes reach the store, no answer comes back.
+    /// A daemon's calls reach the store, but the responses do not reach the daemon.
     CutStoreAnswers,
-    /// The store answers nobody.
+    /// The store answers every call with an error.
     StoreDown,
-    /// The store answers late.
+    /// The store delays every response.
     StoreSlow,
-    /// Half the writes take effect and are answered as failed.
+    /// Half of the writes take effect but are answered with an error.
     LostAnswers,
-    /// A daemon is apart while the budget is topped up.
+    /// The budget is topped up while a daemon is cut off from the store and from its peers.
     TopUpDuringPartition,
-    /// The host list names nobody.
+    /// The host list is empty.
     HostListEmpty,
     /// An engine is killed.
     EngineDead,
-    /// An engine is ten times as slow.
+    /// An engine is slowed down tenfold.
     EngineSlow,
-    /// An engine mixes pieces of another answer into its streams.
+    /// An engine inserts chunks of another run into its streams.
     EngineMisdirects,
-    /// An engine sends each piece twice and breaks streams off.
+    /// An engine sends each chunk twice and breaks off streams.
     EngineRepeatsAndCuts,
-    /// A daemon stops as planned, and is started again.
+    /// A daemon is stopped with SIGTERM, and restarted.
     PlannedStop,
 }
 
-/// Every fault.
+/// All faults.
 pub const FAULTS: [Fault; 15] = [
     Fault::KillDaemon,
     Fault::FreezeDaemon,
@@ -87,53 +88,53 @@
     Fault::PlannedStop,
 ];
 
-/// What is run.
+/// Settings of one run.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Seed of the load.
+    /// Seed of the random choices of the load.
     pub seed: u64,
-    /// The faults, each at another daemon where there are enough.
+    /// The faults; each affects another daemon if there are enough.
     pub faults: Vec<Fault>,
     /// Tokens of the budget.
     pub tokens: u64,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Callers that send at once.
+    /// Number of concurrent callers.
     pub callers: usize,
 }
 
 impl Scenario {
-    /// These faults, with this seed, under a budget that runs out.
+    /// Creates a scenario with three daemons, eight callers and a budget that runs out.
     pub fn new(seed: u64, faults: &[Fault]) -> Self {
         Scenario { seed, faults: faults.to_vec(), tokens: 2_500, daemons: 3, callers: 8 }
     }
 }
 
-/// What happened.
+/// Summary of a run without violations.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// Attempts of callers.
+    /// Number of attempts of all callers.
     pub attempts: usize,
-    /// Attempts answered whole.
+    /// Number of attempts with a complete response.
     pub done: usize,
-    /// Attempts told "not run".
+    /// Number of attempts answered with "not run".
     pub not_run: usize,
-    /// Attempts told "unknown", or cut off.
+    /// Number of attempts answered with "unknown" or without a complete response.
     pub unknown: usize,
-    /// Tokens that ran.
+    /// Number of tokens spent at engines and by calls.
     pub spent: u64,
-    /// Tokens of the budget, with top-ups.
+    /// Tokens of the budget, including top-ups.
     pub budget: u64,
-    /// Bills.
+    /// Number of bills.
     pub bills: usize,
-    /// Runs and calls that were not to be repeated.
+    /// Number of runs and calls that must not be repeated.
     pub non_repeatable: usize,
 }
 
-/// Runs a scenario and audits it.
+/// Runs a scenario and checks all guarantees.
 ///
 /// # Errors
-/// The first promise that was broken, and how.
+/// The first violated guarantee.
 pub async fn run(scenario: &Scenario) -> Result<Report, Violation> {
     let config = FleetConfig {
         daemons: scenario.daemons,
@@ -169,7 +170,8 @@
     audit(&mut fleet, &attempts, budget).await
 }
 
-/// One caller: a request after the other, each until it is done or given up.
+/// Runs one caller until `end`: sends one request after the other, each until it is done or out of
+/// attempts. Returns all attempts.
 async fn run_caller(
     seed: u64,
     n: usize,
@@ -204,8 +206,8 @@
     attempts
 }
 
-/// An order at the plain service, which must not be repeated; sent to two
-/// daemons at the same instant.
+/// Sends an order for the plain service, which must not be repeated, to two daemons at the same
+/// time. Returns both attempts.
 async fn post_order_twice(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
     let body = format!("order {key}");
     let post = |daemon: &String| {
@@ -213,22 +215,25 @@
         let (caller, body, key) = (caller.clone(), body.clone(), key.to_owned());
         async move { caller.post(&daemon, "/orders/new", &key, &body, ATTEMPT_TIMEOUT).await }
     };
-    let (one, two) = tokio::join!(post(&daemons[0]), post(&daemons[1 % daemons.len()]));
-    [one, two].into_iter().map(|answer| order_attempt(key, answer)).collect()
+    let (first, second) = tokio::join!(post(&daemons[0]), post(&daemons[1 % daemons.len()]));
+    [first, second].into_iter().map(|response| order_attempt(key, response)).collect()
 }
 
-fn order_attempt(key: &str, posted: Option<ServiceResponse>) -> Attempt {
-    let outcome = match &posted {
+/// Returns the attempt of an order. An accepted order counts as unknown, because its response has
+/// no tokens to check.
+fn order_attempt(key: &str, response: Option<ServiceResponse>) -> Attempt {
+    let outcome = match &response {
         None => AttemptOutcome::Unknown { code: "no answer".to_owned() },
         Some(ServiceResponse { status: 201, .. }) => {
             AttemptOutcome::Unknown { code: "ordered".to_owned() }
         }
-        Some(posted) => parse_error_body(&posted.body),
+        Some(response) => parse_error_body(&response.body),
     };
-    let attempt = posted.and_then(|posted| posted.attempt);
+    let attempt = response.and_then(|response| response.attempt);
     Attempt { key: key.to_owned(), attempt, run: None, outcome }
 }
 
+/// Injects a fault, at `daemon` if it concerns a daemon.
 async fn begin_fault(fleet: &mut Fleet, fault: Fault, daemon: usize) {
     match fault {
         Fault::KillDaemon => fleet.daemons[daemon].process.kill(),
@@ -267,11 +272,12 @@
     }
 }
 
+/// Ends a fault.
 async fn end_fault(fleet: &mut Fleet, fault: Fault, daemon: usize) {
     match fault {
         Fault::KillDaemon => fleet.restart_daemon(daemon).await,
         Fault::PlannedStop => {
-            assert!(fleet.daemons[daemon].process.wait(), "a planned stop ends well");
+            assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
             fleet.restart_daemon(daemon).await;
         }
         Fault::FreezeDaemon => fleet.daemons[daemon].process.resume(),
@@ -292,17 +298,17 @@
     }
 }
 
-/// Tops up with one identity, as often as it takes to know that it counts.
+/// Tops up the budget through this daemon, with a fixed change id.
 async fn top_up(fleet: &Fleet, daemon: usize) {
     let tokens = TOP_UP_TOKENS.to_string();
     let change = format!("top-up-{daemon}");
     let args = ["budget", "top-up", "main", &tokens, "--change", &change];
-    // Whether it is recorded shows in the budget; the audit counts it in full,
-    // which only a spend above the greater budget would break.
+    // The result is ignored: the audit assumes that the top-up was recorded, so only spending above
+    // the increased budget is a violation.
     let _sent = fleet.run_cli(daemon, &args);
 }
 
-/// Waits until no bill waits and nothing is in flight.
+/// Waits until no daemon has unwritten bills or requests in flight.
 async fn wait_until_idle(fleet: &Fleet) {
     for index in 0..fleet.daemons.len() {
         fleet
@@ -313,10 +319,10 @@
     }
 }
 
-/// Reads every history and checks every promise.
+/// Reads all histories and checks all guarantees.
 ///
 /// # Errors
-/// The first promise that was broken, and how.
+/// The first violated guarantee.
 pub async fn audit(
     fleet: &mut Fleet,
     attempts: &[Attempt],
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -1,15 +1,16 @@
-//! Tables for proofs.
+//! Tables for the tests.
 
 use bankcoved::auth::hash_key;
 use serde_json::{Value, json};
 
-/// The model of every proof.
+/// The model of every test.
 pub const MODEL: &str = "dispatch-8b";
 
-/// The workspace's key in every proof.
+/// The workspace's API key in every test.
 pub const API_KEY: &str = "key-of-the-proof";
 
-/// A table with one workspace, budget and hall, and these servers.
+/// Returns a table with one workspace, one budget and one hall, and with servers at these
+/// addresses.
 pub fn table(engines: &[String], services: &[String], tokens: u64) -> Value {
     let engine = |(n, address): (usize, &String)| {
         json!({
