--- a/crates/proofs/examples/faults.rs
+++ b/crates/proofs/examples/faults.rs
@@ -1,35 +1,36 @@
-//! Runs the proofs of the faults with more seeds, and faults in pairs.
+//! Runs the fault scenarios with several seeds, with single faults or with pairs of faults.
 
 use bankcove_proofs::scenario::{FAULTS, Fault, Scenario, run};
 use clap::Parser;
 
-/// Every promise under faults, alone or in pairs, one scenario after the other.
+/// Check all guarantees under faults, alone or in pairs.
 #[derive(Debug, Parser)]
 struct Args {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     first_seed: u64,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Faults in pairs in place of faults alone.
+    /// Inject pairs of faults instead of single faults.
     #[arg(long)]
     pairs: bool,
-    /// Scenarios that run at the same time.
+    /// Number of scenarios that run at the same time.
     #[arg(long, default_value_t = 6)]
     at_once: usize,
-    /// Only combinations whose text holds this.
+    /// Run only combinations whose name contains this text.
     #[arg(long, default_value = "")]
     only: String,
 }
 
+/// Returns each fault alone, or each pair of different faults.
 fn combinations(pairs: bool) -> Vec<Vec<Fault>> {
     if !pairs {
         return FAULTS.iter().map(|fault| vec![*fault]).collect();
     }
     let mut all = Vec::new();
-    for (n, one) in FAULTS.iter().enumerate() {
-        all.extend(FAULTS[n + 1..].iter().map(|two| vec![*one, *two]));
+    for (n, first) in FAULTS.iter().enumerate() {
+        all.extend(FAULTS[n + 1..].iter().map(|second| vec![*first, *second]));
     }
     all
 }
@@ -42,8 +43,8 @@
         let all = combinations(args.pairs).into_iter();
         all.map(move |faults| Scenario::new(seed, &faults))
     });
-    let wanted = scenarios.filter(|s| format!("{:?}", s.faults).contains(&args.only));
-    let running = futures::stream::iter(wanted.map(|scenario| async move {
+    let selected = scenarios.filter(|s| format!("{:?}", s.faults).contains(&args.only));
+    let running = futures::stream::iter(selected.map(|scenario| async move {
         let outcome = tokio::spawn({
             let scenario = scenario.clone();
             async move { run(&scenario).await }
--- a/crates/proofs/tests/checkers.rs
+++ b/crates/proofs/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker fails on a history that breaks its promise.
+//! Each checker accepts a valid history and fails on one that violates its guarantee.
 
 use bankcove_core::bill::Bill;
 use bankcove_core::request_log::{Entry, Segment};
--- a/crates/proofs/tests/faults.rs
+++ b/crates/proofs/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Every promise under every fault alone, with fixed seeds. Pairs and more
-//! seeds: `cargo run -p bankcove-proofs --example faults -- --pairs`.
+//! All guarantees under each fault alone, with a fixed seed. For pairs of faults and more seeds, run
+//! `cargo run -p bankcove-proofs --example faults -- --pairs`.
 
 use bankcove_proofs::scenario::{Fault, Scenario, run};
 use yare::parameterized;
--- a/crates/proofs/tests/limits.rs
+++ b/crates/proofs/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Servers that name a limit, over the real binaries and bankcove's own interface.
+//! Servers that announce a request limit, tested with the real binaries over bankcove's own
+//! interface.
 
 use std::time::Duration;
 
@@ -9,39 +10,41 @@
 use bankcove_standins::faults::Faults;
 use serde_json::Value;
 
-/// Pause between two calls: 20 a second.
+/// Interval between two requests: 20 per second.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Length of the spans that are counted, in milliseconds.
+/// Length of the windows in which runs are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// What an engine may get in a span beyond one and a half times its limit.
+/// Number of requests that an engine may receive in a window beyond one and a half times its limit.
 const SLACK_REQUESTS: usize = 5;
 
-async fn send_requests(fleet: &Fleet, calls: usize) -> Vec<Attempt> {
-    let mut open = Vec::new();
-    for turn in 0..calls {
+/// Sends `count` requests to the daemons in turn and returns their attempts.
+async fn send_requests(fleet: &Fleet, count: usize) -> Vec<Attempt> {
+    let mut callers = Vec::new();
+    for turn in 0..count {
         let daemon = fleet.daemons[turn % fleet.daemons.len()].caller_address.clone();
-        open.push(tokio::spawn(async move {
-            // Another prompt each time, so that each engine is some callers' first.
+        callers.push(tokio::spawn(async move {
+            // Prompts differ, so that each engine is the first choice for some of them.
             let mut request = ChatRequest::new(format!("call-{turn}"));
             request.prompt = format!("{turn} is the number of this call");
             Caller::default().chat(&daemon, &request).await
         }));
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    let ended = futures::future::join_all(open).await;
-    ended.into_iter().map(|attempt| attempt.expect("a call ends")).collect()
+    let attempts = futures::future::join_all(callers).await;
+    attempts.into_iter().map(|attempt| attempt.expect("the caller does not panic")).collect()
 }
 
-/// Most runs that began within a span, once the first answer had named the limit everywhere.
+/// Returns the largest number of runs that started within a window, counted from 1 s after the
+/// first run, when all daemons know the limit.
 fn most_runs_in_window(runs: &[RunRecord]) -> usize {
     let first = runs.iter().map(|run| run.at_ms).min().unwrap_or_default();
-    let bound: Vec<u64> =
+    let limited: Vec<u64> =
         runs.iter().map(|run| run.at_ms).filter(|at| *at > first + 1_000).collect();
-    let within =
-        |from: &u64| bound.iter().filter(|at| (*from..from + WINDOW_MS).contains(at)).count();
-    bound.iter().map(within).max().unwrap_or_default()
+    let runs_within =
+        |from: &u64| limited.iter().filter(|at| (*from..from + WINDOW_MS).contains(at)).count();
+    limited.iter().map(runs_within).max().unwrap_or_default()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -51,14 +54,15 @@
     fleet.engines[0].set_faults(Faults { limit_per_s: Some(1.0), ..Faults::default() }).await;
     let attempts = send_requests(&fleet, 200).await;
     let runs: Vec<RunRecord> = fleet.engines[0].history().await;
-    let worst = most_runs_in_window(&runs);
-    assert!(worst <= 6 + SLACK_REQUESTS, "{worst} in the worst 4 s");
-    assert!(worst > 0, "the limit is not used");
+    let most_runs = most_runs_in_window(&runs);
+    assert!(most_runs <= 6 + SLACK_REQUESTS, "{most_runs} runs started within 4 s");
+    assert!(most_runs > 0, "the engine received no requests within its limit");
     let done =
         attempts.iter().filter(|attempt| matches!(attempt.outcome, AttemptOutcome::Done { .. }));
-    assert_eq!(done.count(), attempts.len(), "the other engine has room for all");
+    assert_eq!(done.count(), attempts.len(), "the other engine can serve all requests");
     let listed = fleet.run_cli(0, &["limits", "--output", "json"]);
-    let listed: Vec<Value> = serde_json::from_slice(&listed.stdout).expect("it prints JSON");
+    let listed: Vec<Value> =
+        serde_json::from_slice(&listed.stdout).expect("the client prints JSON");
     assert_eq!(listed.len(), 1, "{listed:?}");
     assert_eq!(listed[0]["per_s"], 1.0);
 }
@@ -89,7 +93,8 @@
     args.extend(["--model", MODEL, "--rate", "20", "--duration", "1", "--output", "json"]);
     servers.iter().for_each(|server| args.extend(["--stand-in", server.as_str()]));
     let output = fleet.run_cli(0, &args);
-    let report: Value = serde_json::from_slice(&output.stdout).expect("it prints JSON");
-    let got = |n: usize| report["servers"][n]["requests"].as_u64().expect("it is a number");
-    assert_eq!(got(0) + got(1), 20, "{report}");
+    let report: Value = serde_json::from_slice(&output.stdout).expect("the client prints JSON");
+    let requests =
+        |n: usize| report["servers"][n]["requests"].as_u64().expect("the count is a number");
+    assert_eq!(requests(0) + requests(1), 20, "{report}");
 }
--- a/crates/proofs/tests/operations.rs
+++ b/crates/proofs/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Tables, drains and planned stops under failure and races.
+//! Table edits, drains and planned stops under faults and races.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,17 +13,18 @@
 use bankcove_standins::faults::Faults;
 use serde_json::{Value, json};
 
-/// Exit code of the operators' client: a row has changed since.
+/// Exit code of the operators' client if a row has changed since it was read.
 const CONFLICT: i32 = 3;
-/// Exit code of the operators' client: not known whether it was done.
+/// Exit code of the operators' client if it is unknown whether the command took effect.
 const UNKNOWN: i32 = 4;
 
-/// Looks at a daemon's list of hosts, in some of which it has read it anew.
+/// Number of polls of a daemon's host list, enough for the daemon to read the list several times.
 const HOST_LIST_POLLS: usize = 20;
 
-/// Pause between two of them: a quarter of the time between two reads.
+/// Interval between two polls: a quarter of the time between two reads by the daemon.
 const HOST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Returns whether a status lists this peer as usable.
 fn has_peer(status: &Value, name: &str) -> bool {
     let peers = status["peers"].as_array();
     peers.is_some_and(|peers| {
@@ -35,6 +36,7 @@
     fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect()
 }
 
+/// Runs the operators' client and checks that it succeeds.
 fn run_accepted(fleet: &Fleet, daemon: usize, args: &[&str]) {
     let output = fleet.run_cli(daemon, args);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -49,6 +51,7 @@
     fleet.wait_for_status(daemon, |status| status["revision"].as_u64() >= Some(revision)).await;
 }
 
+/// Sends `count` requests at the same time to the daemons in turn and returns their attempts.
 async fn send_all(fleet: &Fleet, prefix: &str, count: usize) -> Vec<Attempt> {
     let targets = addresses(fleet);
     let requests = (0..count).map(|n| {
@@ -58,6 +61,7 @@
     futures::future::join_all(requests).await
 }
 
+/// Returns the number of runs at an engine.
 async fn runs_at(fleet: &Fleet, engine: usize) -> usize {
     fleet.engines[engine].history::<Vec<Value>>().await.len()
 }
@@ -78,33 +82,40 @@
             let threads: Vec<_> = (0..4).map(|n| scope.spawn(move || edit(n))).collect();
             threads.into_iter().map(|t| t.join().expect("no panic")).collect()
         });
-        let won = outputs.iter().filter(|output| output.status.success()).count();
-        let lost = outputs.iter().filter(|o| o.status.code() == Some(CONFLICT)).count();
-        assert_eq!((won, lost), (1, 3), "{outputs:?}");
-        accepted += won;
+        let succeeded = outputs.iter().filter(|output| output.status.success()).count();
+        let conflicts = outputs.iter().filter(|o| o.status.code() == Some(CONFLICT)).count();
+        assert_eq!((succeeded, conflicts), (1, 3), "{outputs:?}");
+        accepted += succeeded;
         let newest = stored_table(&fleet).await.revision;
         for daemon in 0..3 {
             wait_for_revision(&fleet, daemon, newest).await;
         }
     }
     let table = stored_table(&fleet).await;
-    let edits = table.history.iter().filter(|change| change.rows == ["halls/hall-1"]).count();
-    assert_eq!(edits, accepted);
+    let accepted_edits =
+        table.history.iter().filter(|change| change.rows == ["halls/hall-1"]).count();
+    assert_eq!(accepted_edits, accepted);
     for daemon in 0..3 {
-        check::revisions_increase(&fleet.log(daemon)).expect("revisions never fall");
+        check::revisions_increase(&fleet.log(daemon)).expect("revisions only increase");
     }
 }
 
 async fn stored_row_version(fleet: &Fleet, hall: &str) -> u64 {
     let table = stored_table(fleet).await;
-    table.halls.iter().find(|row| row.name.as_str() == hall).expect("the hall is there").version
+    table
+        .halls
+        .iter()
+        .find(|row| row.name.as_str() == hall)
+        .expect("the table has the hall")
+        .version
 }
 
+/// Returns the table that was last written to the store.
 async fn stored_table(fleet: &Fleet) -> Table {
     let writes = fleet.store_writes().await;
     let tables = writes.iter().rev().find(|write| write["kind"] == "tables");
     let value = tables.expect("a table was written")["value"].clone();
-    serde_json::from_value(value).expect("it is a table")
+    serde_json::from_value(value).expect("the stored value is a table")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -134,7 +145,7 @@
     fleet.daemons[2].store_link.restore();
     for daemon in 0..3 {
         wait_for_revision(&fleet, daemon, newest).await;
-        check::revisions_increase(&fleet.log(daemon)).expect("revisions never fall");
+        check::revisions_increase(&fleet.log(daemon)).expect("revisions only increase");
     }
 }
 
@@ -152,7 +163,7 @@
     let config = FleetConfig { daemons: 3, engines: 2, step_ms: 20, ..FleetConfig::default() };
     let fleet = Fleet::start(&config).await;
     let targets = addresses(&fleet);
-    let long: Vec<_> = (0..12)
+    let streaming: Vec<_> = (0..12)
         .map(|n| {
             let target = targets[n % 3].clone();
             let request = ChatRequest::new(format!("long-{n}")).max_tokens(60);
@@ -170,7 +181,7 @@
     assert_eq!(check::complete_answers(&attempts), Ok(30), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let mut streams = Vec::new();
-    for stream in long {
+    for stream in streaming {
         streams.push(stream.await.expect("the caller does not panic"));
     }
     assert_eq!(check::complete_answers(&streams), Ok(12), "{streams:?}");
@@ -189,7 +200,7 @@
     run_accepted(&fleet, 0, &["row", "set", "halls", "hall-2", "weight=1"]);
     run_accepted(&fleet, 0, &["row", "set", "servers", "engine-1", "hall=hall-2"]);
     let target = addresses(&fleet)[0].clone();
-    let long = tokio::spawn(async move {
+    let streaming = tokio::spawn(async move {
         Caller::default().chat(&target, &ChatRequest::new("long".to_owned()).max_tokens(60)).await
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -199,7 +210,7 @@
     let attempts = send_all(&fleet, "evacuated", 20).await;
     assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
-    let stream = long.await.expect("the caller does not panic");
+    let stream = streaming.await.expect("the caller does not panic");
     assert_eq!(check::complete_answers(&[stream]), Ok(1));
     run_accepted(&fleet, 1, &["reopen", "hall-1"]);
     wait_for_revision(&fleet, 0, revision(&fleet, 1).await).await;
@@ -229,6 +240,7 @@
     assert_eq!(runs_at(&fleet, 0).await, before);
 }
 
+/// Waits until a daemon has applied the host list that lists the first engine as leaving.
 async fn wait_until_listed_leaving(fleet: &Fleet, daemon: usize) {
     for _ in 0..200 {
         let dump = fleet.operator_get(daemon, "dump").await.unwrap_or_default();
@@ -238,7 +250,7 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("the daemon never took the host list in");
+    panic!("the daemon never applied the host list");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -250,12 +262,12 @@
     let order = |epoch: u64, leave: bool| {
         http.post(&orders).json(&json!({"epoch": epoch, "leave": leave})).send()
     };
-    assert!(order(1_000, true).await.expect("it answers").status().is_success());
+    assert!(order(1_000, true).await.expect("the engine answers").status().is_success());
     let attempts = send_all(&fleet, "own-word", 20).await;
     assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, 0);
-    let old = order(999, false).await.expect("it answers");
-    assert_eq!(old.status(), reqwest::StatusCode::CONFLICT);
+    let stale = order(999, false).await.expect("the engine answers");
+    assert_eq!(stale.status(), reqwest::StatusCode::CONFLICT);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -265,8 +277,12 @@
     run_accepted(&fleet, 2, &["drain", "engine-1"]);
     let load = format!("http://{}/v1/load", fleet.engines[1].address);
     for _ in 0..200 {
-        let report: Value =
-            reqwest::get(&load).await.expect("it answers").json().await.expect("a report");
+        let report: Value = reqwest::get(&load)
+            .await
+            .expect("the engine answers")
+            .json()
+            .await
+            .expect("the report is JSON");
         if report["leaving"] == true {
             return;
         }
@@ -292,14 +308,14 @@
     fleet.wait_for_status(0, |status| status["isolated"] == true).await;
     run_accepted(&fleet, 1, &["drain", "engine-0"]);
     let before = runs_at(&fleet, 0).await;
-    let outcome = Caller::default()
+    let attempt = Caller::default()
         .chat(&fleet.daemons[0].caller_address, &ChatRequest::new("cut-off"))
         .await;
-    let AttemptOutcome::NotRun { code, .. } = &outcome.outcome else { panic!("{outcome:?}") };
+    let AttemptOutcome::NotRun { code, .. } = &attempt.outcome else { panic!("{attempt:?}") };
     assert_eq!(code, "no_server");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let runs = fleet.live_runs().await;
-    assert!(check::not_run_never_executed(&[outcome], &runs, &[]).is_ok());
+    assert!(check::not_run_never_executed(&[attempt], &runs, &[]).is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -309,11 +325,11 @@
     let targets = addresses(&fleet);
     let stop = Arc::<AtomicBool>::default();
     let callers: Vec<_> =
-        (0..6).map(|n| tokio::spawn(call_until(targets.clone(), n, stop.clone()))).collect();
+        (0..6).map(|n| tokio::spawn(run_caller_until(targets.clone(), n, stop.clone()))).collect();
     for daemon in 0..3 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         fleet.daemons[daemon].process.terminate();
-        assert!(fleet.daemons[daemon].process.wait(), "a planned stop ends well");
+        assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
         fleet.restart_daemon(daemon).await;
         wait_for_revision(&fleet, daemon, 1).await;
     }
@@ -322,24 +338,25 @@
     for caller in callers {
         attempts.extend(caller.await.expect("callers do not panic"));
     }
-    let cut: Vec<_> =
+    let interrupted: Vec<_> =
         attempts.iter().filter(|a| matches!(a.outcome, AttemptOutcome::Unknown { .. })).collect();
-    assert!(cut.is_empty(), "{cut:?}");
+    assert!(interrupted.is_empty(), "{interrupted:?}");
     let runs = fleet.live_runs().await;
     assert!(check::not_run_never_executed(&attempts, &runs, &[]).is_ok());
     for daemon in 0..3 {
         fleet.daemons[daemon].process.terminate();
-        assert!(fleet.daemons[daemon].process.wait(), "a planned stop ends well");
+        assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
     }
     let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let ledgers: Vec<_> = shards.iter().filter_map(|shard| shard.budgets.values().next()).collect();
     let last = ledgers.last().expect("the budget was written");
     let ran: u64 = runs.iter().map(|run| run.prompt_tokens + run.output_tokens).sum();
     assert!(last.grants.is_empty(), "{last:?}");
-    assert_eq!(last.retired, ran as i64, "what is not given back was spent");
+    assert_eq!(last.retired, ran as i64, "all tokens that were not returned were spent");
 }
 
-async fn call_until(targets: Vec<String>, n: usize, stop: Arc<AtomicBool>) -> Vec<Attempt> {
+/// Runs one caller that sends requests until `stop` is set, and returns its attempts.
+async fn run_caller_until(targets: Vec<String>, n: usize, stop: Arc<AtomicBool>) -> Vec<Attempt> {
     let caller = Caller::default();
     let mut attempts = Vec::new();
     let mut count = 0;
@@ -355,9 +372,9 @@
 async fn a_stop_during_an_outage_returns_held_tokens_once_the_store_is_back() {
     let mut fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
     for target in addresses(&fleet) {
-        let outcome =
+        let attempt =
             Caller::default().chat(&target, &ChatRequest::new(format!("held-{target}"))).await;
-        assert!(matches!(outcome.outcome, AttemptOutcome::Done { .. }), "{outcome:?}");
+        assert!(matches!(attempt.outcome, AttemptOutcome::Done { .. }), "{attempt:?}");
     }
     fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
     for daemon in &fleet.daemons {
@@ -366,7 +383,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.store.set_faults(Faults::default()).await;
     for daemon in &mut fleet.daemons {
-        assert!(daemon.process.wait(), "a planned stop ends well");
+        assert!(daemon.process.wait(), "a planned stop exits with success");
     }
     let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let last = shards.last().and_then(|shard| shard.budgets.values().next());
@@ -380,15 +397,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peers_older_host_list_does_not_replace_a_newer_one() {
     let mut fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
-    // The first two read the list for their hall, and do not see it change.
-    for reader in &fleet.daemons[..2] {
-        reader.store_link.cut();
+    // The first two daemons read the list for their hall, and do not receive its change.
+    for daemon in &fleet.daemons[..2] {
+        daemon.store_link.cut();
     }
     let mut hosts = fleet.hosts();
     let newcomer = Host { name: Name::from("entry-9"), ..hosts[0].clone() };
     hosts.push(newcomer);
     fleet.set_hosts(&hosts).await;
-    // Until it knows its peers, the third one reads the store itself.
+    // Until it knows its peers, the third daemon reads the store itself.
     fleet.daemons[2].process.kill();
     fleet.restart_daemon(2).await;
     let knows_newcomer = |status: &Value| has_peer(status, "entry-9");
--- a/crates/proofs/tests/path.rs
+++ b/crates/proofs/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over the real binaries, each process on its own.
+//! The complete path of a request, tested with the real binaries in separate processes.
 
 use bankcove_core::{Name, RequestHash};
 use bankcove_proofs::caller::{AttemptOutcome, Caller, ChatRequest};
@@ -28,14 +28,14 @@
     assert_eq!(bills.len(), 2);
 }
 
-async fn post(fleet: &Fleet, key: &str, body: impl Into<reqwest::Body>) -> (u16, Value) {
+async fn post_chat(fleet: &Fleet, key: &str, body: impl Into<reqwest::Body>) -> (u16, Value) {
     let url = format!("http://{}/v1/chat/completions", fleet.daemons[0].caller_address);
     let req = reqwest::Client::new().post(url).bearer_auth(key).body(body);
     let res = req.send().await.expect("the daemon answers");
     (res.status().as_u16(), res.json().await.expect("errors are JSON"))
 }
 
-fn chat(model: &str) -> Value {
+fn chat_body(model: &str) -> Value {
     json!({"model": model, "messages": [{"role": "user", "content": "hello"}]})
 }
 
@@ -44,21 +44,25 @@
     let mut config = FleetConfig::default();
     config.limits["max_body_bytes"] = json!(10_000);
     let mut fleet = Fleet::start(&config).await;
-    let long = "x".repeat(20_000);
-    let mut too_many = chat(MODEL);
-    too_many["max_tokens"] = json!(100_000);
+    let oversized = "x".repeat(20_000);
+    let mut too_many_tokens = chat_body(MODEL);
+    too_many_tokens["max_tokens"] = json!(100_000);
     let cases = [
-        ("wrong", chat(MODEL).to_string(), 401, "bad_key"),
+        ("wrong", chat_body(MODEL).to_string(), 401, "bad_key"),
         (API_KEY, "{\"model\": ".to_owned(), 400, "bad_json"),
         (API_KEY, json!({"model": MODEL}).to_string(), 400, "bad_request"),
-        (API_KEY, too_many.to_string(), 400, "bad_max_tokens"),
-        (API_KEY, chat("other").to_string(), 404, "no_such_model"),
-        (API_KEY, long, 413, "body_too_large"),
+        (API_KEY, too_many_tokens.to_string(), 400, "bad_max_tokens"),
+        (API_KEY, chat_body("other").to_string(), 404, "no_such_model"),
+        (API_KEY, oversized, 413, "body_too_large"),
     ];
     for (key, body, status, code) in cases {
-        let (found, answer) = post(&fleet, key, body).await;
-        assert_eq!((found, answer["error"]["code"].as_str()), (status, Some(code)), "{answer}");
-        assert_eq!(answer["error"]["outcome"], "not_run");
+        let (found_status, response) = post_chat(&fleet, key, body).await;
+        assert_eq!(
+            (found_status, response["error"]["code"].as_str()),
+            (status, Some(code)),
+            "{response}"
+        );
+        assert_eq!(response["error"]["outcome"], "not_run");
     }
     assert!(fleet.live_runs().await.is_empty());
 }
@@ -80,10 +84,11 @@
     let fleet = Fleet::start(&FleetConfig { services: 1, ..FleetConfig::default() }).await;
     let timeout = std::time::Duration::from_secs(5);
     let daemon = &fleet.daemons[0].caller_address;
-    let posted = Caller::default().post(daemon, "/orders/9?x=1", "o-9", "two seats", timeout).await;
-    let posted = posted.expect("the daemon answers");
-    let echoed = posted.body["you"]["body"].as_str();
-    assert_eq!((posted.status, echoed), (201, Some("two seats")));
+    let response =
+        Caller::default().post(daemon, "/orders/9?x=1", "o-9", "two seats", timeout).await;
+    let response = response.expect("the daemon answers");
+    let echoed = response.body["you"]["body"].as_str();
+    assert_eq!((response.status, echoed), (201, Some("two seats")));
     let calls = fleet.service_calls().await;
     assert_eq!((calls.len(), calls[0].path.as_str()), (1, "/orders/9"));
 }
--- a/crates/proofs/tests/requests.rs
+++ b/crates/proofs/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Promises about single requests, each under the failure that threatens it.
+//! Guarantees about single requests, each under the faults that could violate it.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use bankcove_standins::faults::Faults;
 use yare::parameterized;
 
-/// Requests that are under way when a daemon is killed.
+/// Number of requests in progress when a daemon is killed.
 const REQUESTS: usize = 6;
 
-/// How long their callers wait.
+/// Time for which callers wait.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn request_of(key: &str) -> RequestHash {
@@ -23,6 +23,7 @@
     fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect()
 }
 
+/// Waits until a daemon has no unwritten bills and no requests in flight.
 async fn wait_until_idle(fleet: &Fleet, daemon: usize) {
     let idle = |status: &serde_json::Value| {
         status["bills_waiting"] == 0 && status["requests_in_flight"] == 0
@@ -30,6 +31,7 @@
     fleet.wait_for_status(daemon, idle).await;
 }
 
+/// Waits until at least `count` runs have ended.
 async fn wait_until_runs_ended(fleet: &mut Fleet, count: usize) {
     for _ in 0..2_000 {
         let runs = fleet.live_runs().await;
@@ -53,7 +55,7 @@
 async fn a_request_is_billed_once_when_its_daemon_is_killed(after_runs_ms: Option<u64>) {
     let mut fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
     fleet.store.set_faults(Faults { delay_ms: 300, ..Faults::default() }).await;
-    // Several, so that either daemon owns the log shard of some.
+    // Several requests, so that each daemon owns the log shard of some of them.
     let requests =
         (0..REQUESTS).map(|n| ChatRequest::new(format!("paid-{n}")).timeout(CALLER_TIMEOUT));
     let requests: Vec<ChatRequest> = requests.collect();
@@ -76,7 +78,7 @@
         let first = sent.await.expect("the caller does not panic");
         let is_done = matches!(first.outcome, AttemptOutcome::Done { .. });
         attempts.push(first);
-        // Who has the whole answer asks no more, and is billed all the same.
+        // A caller with the complete response does not retry, but is billed as well.
         if !is_done {
             attempts.extend(Caller::default().chat_until_done(&second, request, 10).await);
         }
@@ -156,18 +158,20 @@
                 (target.clone(), ChatRequest::new(key.clone()).non_repeatable());
             let (caller, order) = (caller.clone(), order.clone());
             async move {
-                let posted = caller.post(&target, "/orders/1", &order, "one", timeout);
-                tokio::join!(caller.chat(&target, &request), posted)
+                let response = caller.post(&target, "/orders/1", &order, "one", timeout);
+                tokio::join!(caller.chat(&target, &request), response)
             }
         });
-        let outcome: Vec<_> = futures::future::join_all(requests).await;
-        let done = outcome
+        let results: Vec<_> = futures::future::join_all(requests).await;
+        let done = results
             .iter()
-            .filter(|(a, _)| matches!(a.outcome, AttemptOutcome::Done { .. }))
+            .filter(|(attempt, _)| matches!(attempt.outcome, AttemptOutcome::Done { .. }))
             .count();
-        let ordered =
-            outcome.iter().filter(|(_, p)| p.as_ref().is_some_and(|p| p.status == 201)).count();
-        assert_eq!((done, ordered), (1, 1), "{outcome:?}");
+        let ordered = results
+            .iter()
+            .filter(|(_, order)| order.as_ref().is_some_and(|order| order.status == 201))
+            .count();
+        assert_eq!((done, ordered), (1, 1), "{results:?}");
     }
     let runs = fleet.live_runs().await;
     assert_eq!(check::at_most_once(runs.iter().map(|run| run.run.as_str())), Ok(5));
@@ -199,13 +203,13 @@
     let config = FleetConfig { step_ms: 20, ..FleetConfig::default() };
     let mut fleet = Fleet::start(&config).await;
     let request = ChatRequest::new("left").max_tokens(200).timeout(Duration::from_millis(500));
-    let left = Caller::default().chat(&addresses(&fleet)[0], &request).await;
-    assert!(matches!(left.outcome, AttemptOutcome::Unknown { .. }), "{left:?}");
+    let disconnected = Caller::default().chat(&addresses(&fleet)[0], &request).await;
+    assert!(matches!(disconnected.outcome, AttemptOutcome::Unknown { .. }), "{disconnected:?}");
     wait_until_idle(&fleet, 0).await;
     let complete =
         ChatRequest::new("left-whole").max_tokens(200).unstreamed().timeout(request.timeout);
-    let left = Caller::default().chat(&addresses(&fleet)[0], &complete).await;
-    assert!(matches!(left.outcome, AttemptOutcome::Unknown { .. }), "{left:?}");
+    let disconnected = Caller::default().chat(&addresses(&fleet)[0], &complete).await;
+    assert!(matches!(disconnected.outcome, AttemptOutcome::Unknown { .. }), "{disconnected:?}");
     wait_until_idle(&fleet, 0).await;
     let runs = fleet.live_runs().await;
     let bills = check::bills(&segments(&fleet.store_writes().await));
@@ -242,10 +246,10 @@
 async fn requests_complete_during_a_store_outage_and_are_billed_afterwards() {
     let fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
     let targets = addresses(&fleet);
-    let warm = Caller::default().chat(&targets[0], &ChatRequest::new("warm")).await;
-    assert!(matches!(warm.outcome, AttemptOutcome::Done { .. }), "{warm:?}");
+    let warm_up = Caller::default().chat(&targets[0], &ChatRequest::new("warm")).await;
+    assert!(matches!(warm_up.outcome, AttemptOutcome::Done { .. }), "{warm_up:?}");
     fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
-    let mut attempts = vec![warm];
+    let mut attempts = vec![warm_up];
     for n in 0..6 {
         attempts.push(
             Caller::default().chat(&targets[n % 3], &ChatRequest::new(format!("away-{n}"))).await,
@@ -264,16 +268,16 @@
 async fn a_bill_survives_the_loss_of_its_daemon_in_an_outage() {
     let mut fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
     let targets = addresses(&fleet);
-    let warm = Caller::default().chat(&targets[0], &ChatRequest::new("warm")).await;
+    let warm_up = Caller::default().chat(&targets[0], &ChatRequest::new("warm")).await;
     fleet.store.set_faults(Faults { down: true, ..Faults::default() }).await;
-    let outcome = Caller::default().chat(&targets[0], &ChatRequest::new("outlives")).await;
-    assert!(matches!(outcome.outcome, AttemptOutcome::Done { .. }), "{outcome:?}");
+    let attempt = Caller::default().chat(&targets[0], &ChatRequest::new("outlives")).await;
+    assert!(matches!(attempt.outcome, AttemptOutcome::Done { .. }), "{attempt:?}");
     fleet.daemons[0].process.kill();
     fleet.store.set_faults(Faults::default()).await;
     wait_until_idle(&fleet, 1).await;
     wait_until_idle(&fleet, 2).await;
     let bills = check::bills(&segments(&fleet.store_writes().await));
-    assert_eq!(check::billed_once(&[warm, outcome], &bills, request_of), Ok(()));
+    assert_eq!(check::billed_once(&[warm_up, attempt], &bills, request_of), Ok(()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -282,8 +286,8 @@
         Fleet::start(&FleetConfig { daemons: 4, tokens: 2_000, ..FleetConfig::default() }).await;
     let targets = addresses(&fleet);
     for (n, target) in targets.iter().enumerate() {
-        let outcome = Caller::default().chat(target, &ChatRequest::new(format!("warm-{n}"))).await;
-        assert!(matches!(outcome.outcome, AttemptOutcome::Done { .. }), "{outcome:?}");
+        let attempt = Caller::default().chat(target, &ChatRequest::new(format!("warm-{n}"))).await;
+        assert!(matches!(attempt.outcome, AttemptOutcome::Done { .. }), "{attempt:?}");
     }
     fleet.daemons[3].process.kill();
     fleet.restart_daemon(3).await;
@@ -299,7 +303,7 @@
     wait_until_idle(&fleet, 0).await;
     let runs = fleet.live_runs().await;
     let spent = check::spend_within_budget(&runs, 0, 2_000).expect("no overspend");
-    // An equal share of four is 500: the killed daemon took far less along.
+    // An equal share of four daemons is 500: the killed daemon lost far less than that.
     assert!(spent > 1_700, "{spent} of 2000 tokens were spent: {:?}", attempts.last());
     assert_eq!(check::complete_answers(&attempts), Ok(attempts.len() - 1));
 }
@@ -355,7 +359,8 @@
             table["budgets"][0]["when_short"] = serde_json::json!(when_short);
         })
         .await;
-        // 100 bytes of prompt are 25 tokens; with 8 of output they fit, by bytes not.
+        // A prompt of 100 bytes has 25 tokens. With 8 output tokens it fits the budget, but not if
+        // each byte is counted as a token.
         let mut request = ChatRequest::new("long prompt");
         request.prompt = "x".repeat(100);
         let outcome = Caller::default().chat(&addresses(&fleet)[0], &request).await.outcome;
@@ -372,8 +377,8 @@
         .await;
     fleet.services[0].set_faults(Faults { delay_ms: 60_000, ..Faults::default() }).await;
     let target = &addresses(&fleet)[0];
-    let posted = Caller::default().post(target, "/orders/1", "slow", "one", CALLER_TIMEOUT).await;
-    let error = &posted.expect("the daemon answers").body["error"];
+    let response = Caller::default().post(target, "/orders/1", "slow", "one", CALLER_TIMEOUT).await;
+    let error = &response.expect("the daemon answers").body["error"];
     assert_eq!(
         (error["code"].as_str(), error["outcome"].as_str()),
         (Some("server_lost"), Some("unknown"))
