--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -155,7 +155,8 @@
             (0..config.services).map(|_| StandIn::start(&["service"])).collect();
         let addresses =
             |list: &[StandIn]| list.iter().map(|s| s.address.to_string()).collect::<Vec<_>>();
-        let mut table = table::table(&addresses(&engines), &addresses(&services), config.tokens);
+        let mut table =
+            table::table_with_servers(&addresses(&engines), &addresses(&services), config.tokens);
         change(&mut table);
         let dir = tempfile::tempdir().expect("a temporary directory can be created");
         let limits = config.limits.clone();
--- a/crates/proofs/src/relay.rs
+++ b/crates/proofs/src/relay.rs
@@ -15,6 +15,7 @@
 /// Interval between two checks of whether a cut link has been restored.
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
+/// Directions of a link that are cut.
 #[derive(Debug, Default)]
 struct Cuts {
     to_target: AtomicBool,
@@ -77,6 +78,7 @@
     }
 }
 
+/// Accepts connections and relays each to `target`.
 async fn accept(listener: TcpListener, target: String, cuts: Arc<Cuts>) {
     loop {
         let Ok((client, _)) = listener.accept().await else { return };
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -11,7 +11,7 @@
 
 /// Returns a table with one workspace, one budget and one hall, and with servers at these
 /// addresses.
-pub fn table(engines: &[String], services: &[String], tokens: u64) -> Value {
+pub fn table_with_servers(engines: &[String], services: &[String], tokens: u64) -> Value {
     let engine = |(n, address): (usize, &String)| {
         json!({
             "name": format!("engine-{n}"), "hall": "hall-1", "address": address,
--- a/crates/proofs/tests/checkers.rs
+++ b/crates/proofs/tests/checkers.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_second_bill_a_missing_bill_and_a_strange_bill_are_found() {
+fn a_duplicate_a_missing_and_an_unknown_bill_are_found() {
     let answered = [attempt("k", done("", 0))];
     assert!(check::billed_once(&answered, &[bill("k")], request_of).is_ok());
     assert!(check::billed_once(&answered, &[bill("k"), bill("k")], request_of).is_err());
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_gap_a_repeat_and_a_foreign_piece_are_found() {
-    let whole = "run-1:0 run-1:1 ";
-    assert_eq!(check::complete_answers(&[attempt("k", done(whole, 2))]), Ok(1));
+fn a_gap_a_duplicate_and_a_foreign_chunk_are_found() {
+    let complete = "run-1:0 run-1:1 ";
+    assert_eq!(check::complete_answers(&[attempt("k", done(complete, 2))]), Ok(1));
     for bad in ["run-1:1 ", "run-1:0 run-1:0 run-1:1 ", "run-1:0 other:1 ", "run-1:0 "] {
         assert!(check::complete_answers(&[attempt("k", done(bad, 2))]).is_err(), "{bad}");
     }
--- a/crates/proofs/tests/crashes.rs
+++ b/crates/proofs/tests/crashes.rs
@@ -18,10 +18,12 @@
     Caller::default().chat(daemon, &request).await
 }
 
+/// Returns whether the request was refused because it crashes servers.
 fn is_refused(attempt: &Attempt) -> bool {
     matches!(&attempt.outcome, AttemptOutcome::NotRun { code, .. } if code == "crashes_servers")
 }
 
+/// Returns the number of engines that have not crashed.
 fn running_engines(fleet: &mut Fleet) -> usize {
     fleet
         .engines
--- a/crates/proofs/tests/hints.rs
+++ b/crates/proofs/tests/hints.rs
@@ -33,6 +33,7 @@
     attempts.into_iter().map(|attempt| attempt.expect("the caller does not panic")).collect()
 }
 
+/// Returns the number of attempts with a complete response.
 fn count_done(attempts: &[Attempt]) -> usize {
     attempts.iter().filter(|attempt| matches!(attempt.outcome, AttemptOutcome::Done { .. })).count()
 }
--- a/crates/proofs/tests/operations.rs
+++ b/crates/proofs/tests/operations.rs
@@ -32,6 +32,7 @@
     })
 }
 
+/// Returns the caller addresses of all daemons.
 fn addresses(fleet: &Fleet) -> Vec<String> {
     fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect()
 }
@@ -42,11 +43,13 @@
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
+/// Returns the table revision of a daemon.
 async fn revision(fleet: &Fleet, daemon: usize) -> u64 {
     let status = fleet.operator_get(daemon, "status").await.expect("the daemon answers");
     status["revision"].as_u64().expect("a revision is a number")
 }
 
+/// Waits until a daemon has adopted this revision of the table or a later one.
 async fn wait_for_revision(fleet: &Fleet, daemon: usize, revision: u64) {
     fleet.wait_for_status(daemon, |status| status["revision"].as_u64() >= Some(revision)).await;
 }
@@ -100,6 +103,7 @@
     }
 }
 
+/// Returns the version of a hall's row in the stored table.
 async fn stored_row_version(fleet: &Fleet, hall: &str) -> u64 {
     let table = stored_table(fleet).await;
     table
--- a/crates/proofs/tests/path.rs
+++ b/crates/proofs/tests/path.rs
@@ -28,6 +28,7 @@
     assert_eq!(bills.len(), 2);
 }
 
+/// Posts a body to the chat path and returns the status and the body of the response.
 async fn post_chat(fleet: &Fleet, key: &str, body: impl Into<reqwest::Body>) -> (u16, Value) {
     let url = format!("http://{}/v1/chat/completions", fleet.daemons[0].caller_address);
     let req = reqwest::Client::new().post(url).bearer_auth(key).body(body);
@@ -35,6 +36,7 @@
     (res.status().as_u16(), res.json().await.expect("errors are JSON"))
 }
 
+/// Returns the body of a chat request for this model.
 fn chat_body(model: &str) -> Value {
     json!({"model": model, "messages": [{"role": "user", "content": "hello"}]})
 }
--- a/crates/proofs/tests/requests.rs
+++ b/crates/proofs/tests/requests.rs
@@ -15,10 +15,12 @@
 /// Time for which callers wait.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Returns the hash of the request with this idempotency key.
 fn request_of(key: &str) -> RequestHash {
     RequestHash::of(&Name::from("dispatch"), key)
 }
 
+/// Returns the caller addresses of all daemons.
 fn addresses(fleet: &Fleet) -> Vec<String> {
     fleet.daemons.iter().map(|daemon| daemon.caller_address.clone()).collect()
 }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -23,7 +23,7 @@
 use crate::serve::{MAX_BODY_BYTES, RunningStandIn};
 
 /// Seed of the random choice of the writes whose response is lost.
-const SEED: u64 = 7;
+const LOST_ANSWERS_SEED: u64 = 7;
 
 /// Longest wait of a watch, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
@@ -73,7 +73,7 @@
             faults: Faults::default(),
             counts: CallCounts::default(),
             history: Vec::new(),
-            rng: StdRng::seed_from_u64(SEED),
+            rng: StdRng::seed_from_u64(LOST_ANSWERS_SEED),
         }),
         changed: Notify::new(),
     });
