--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the object API over HTTP.
+//! HTTP client of bankcove's object API.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 
 use crate::error::{Error, Result};
 use crate::objects::{Kind, Version, Versioned, WriteOutcome};
-use crate::store::{StoreApi, Watched};
+use crate::store::{StoreApi, WatchResult};
 
-/// Longest wait for the answer to a read or a write.
+/// Timeout of a read or a write.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for a connection.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a watch may last beyond the time asked for.
+/// Time that a watch may take beyond its requested wait.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// Names of a kind, in the order asked for.
+/// Names of the objects of one kind, in the requested order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListPage {
-    /// The names.
+    /// The object names.
     pub names: Vec<String>,
 }
 
@@ -48,7 +48,7 @@
     hosts: Vec<Host>,
 }
 
-/// A client; copies share their connections.
+/// A client of the object API; clones share their connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: reqwest::Client,
@@ -56,22 +56,22 @@
 }
 
 impl Client {
-    /// A client of the API at this address, IP number and port.
+    /// Creates a client of the API at this address, given as IP address and port.
     ///
     /// # Panics
-    /// When the HTTP library can't be set up, which only a broken build does.
+    /// If the HTTP client can't be built, which only a broken build of the library causes.
     pub fn new(address: &str) -> Self {
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
             .build()
-            .expect("an HTTP client without TLS needs nothing from the machine");
+            .expect("an HTTP client without TLS needs no system resources");
         Client { http, address: address.to_owned() }
     }
 
     async fn read_object(&self, kind: Kind, name: &str) -> Result<Option<Versioned<Value>>> {
         let req = self.http.get(self.object_url(kind, name)).timeout(CALL_TIMEOUT);
-        let res = req.send().await.map_err(|e| self.away(&e))?;
+        let res = req.send().await.map_err(|e| self.unavailable(&e))?;
         self.object(res).await
     }
 
@@ -81,17 +81,17 @@
         name: &str,
         after: Version,
         wait: Duration,
-    ) -> Result<Watched<Value>> {
+    ) -> Result<WatchResult<Value>> {
         let url = format!("http://{}/v1/watch/{}/{name}", self.address, kind.path());
         let millis = wait.as_millis() as u64;
         let req = self.http.get(url).query(&[("after", after), ("timeout_ms", millis)]);
-        let res = req.timeout(wait + WATCH_GRACE).send().await.map_err(|e| self.away(&e))?;
+        let res = req.timeout(wait + WATCH_GRACE).send().await.map_err(|e| self.unavailable(&e))?;
         if res.status() == StatusCode::NO_CONTENT {
-            return Ok(Watched { at: after, changed: None });
+            return Ok(WatchResult { version: after, changed: None });
         }
         let changed = self.object(res).await?;
-        let at = changed.as_ref().map_or(after, |read| read.version);
-        Ok(Watched { at, changed })
+        let version = changed.as_ref().map_or(after, |read| read.version);
+        Ok(WatchResult { version, changed })
     }
 
     async fn write_object(
@@ -117,7 +117,7 @@
         }
     }
 
-    async fn greatest_name(&self, kind: Kind) -> Result<Option<String>> {
+    async fn read_greatest_name(&self, kind: Kind) -> Result<Option<String>> {
         let url = format!("http://{}/v1/objects/{}", self.address, kind.path());
         let req = self.http.get(url).query(&[("order", "descending"), ("limit", "1")]);
         let page: ListPage = self.json(req).await?;
@@ -131,17 +131,17 @@
     }
 
     async fn json<T: DeserializeOwned>(&self, req: reqwest::RequestBuilder) -> Result<T> {
-        let res = req.timeout(CALL_TIMEOUT).send().await.map_err(|e| self.away(&e))?;
-        let res = res.error_for_status().map_err(|e| self.away(&e))?;
-        res.json().await.map_err(|e| self.away(&e))
+        let res = req.timeout(CALL_TIMEOUT).send().await.map_err(|e| self.unavailable(&e))?;
+        let res = res.error_for_status().map_err(|e| self.unavailable(&e))?;
+        res.json().await.map_err(|e| self.unavailable(&e))
     }
 
     async fn object(&self, res: Response) -> Result<Option<Versioned<Value>>> {
         if res.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let res = res.error_for_status().map_err(|e| self.away(&e))?;
-        let answer: ReadAnswer = res.json().await.map_err(|e| self.away(&e))?;
+        let res = res.error_for_status().map_err(|e| self.unavailable(&e))?;
+        let answer: ReadAnswer = res.json().await.map_err(|e| self.unavailable(&e))?;
         Ok(Some(Versioned { version: answer.version, value: answer.value }))
     }
 
@@ -149,8 +149,9 @@
         format!("http://{}/v1/objects/{}/{name}", self.address, kind.path())
     }
 
-    fn away(&self, e: &reqwest::Error) -> Error {
-        Error::Away { address: self.address.clone(), problem: e.to_string() }
+    /// Returns the error for a failed call.
+    fn unavailable(&self, e: &reqwest::Error) -> Error {
+        Error::Unavailable { address: self.address.clone(), problem: e.to_string() }
     }
 }
 
@@ -169,7 +170,7 @@
         name: &'a str,
         after: Version,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<Watched<Value>>> {
+    ) -> BoxFuture<'a, Result<WatchResult<Value>>> {
         self.watch_object(kind, name, after, wait).boxed()
     }
 
@@ -183,8 +184,8 @@
         self.write_object(kind, name, expect, value).boxed()
     }
 
-    fn last_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>> {
-        self.greatest_name(kind).boxed()
+    fn greatest_name(&self, kind: Kind) -> BoxFuture<'_, Result<Option<String>>> {
+        self.read_greatest_name(kind).boxed()
     }
 
     fn hosts(&self) -> BoxFuture<'_, Result<Hosts>> {
@@ -192,7 +193,7 @@
     }
 
     fn announce<'a>(&'a self, _: &'a Host) -> BoxFuture<'a, Result<()>> {
-        // This platform lists its hosts by itself.
+        // This platform maintains its host list itself.
         async { Ok(()) }.boxed()
     }
 
@@ -205,12 +206,12 @@
         _: Version,
         _: Duration,
     ) -> BoxFuture<'_, Result<Option<ServerChanges>>> {
-        // The table's rows say which servers there are.
+        // The backend servers are listed in the table only.
         async { Ok(None) }.boxed()
     }
 
     fn watch_halls(&self, _: Version, _: Duration) -> BoxFuture<'_, Result<Option<HallChanges>>> {
-        // The table's rows say which halls take work.
+        // Whether a hall takes work is set in the table only.
         async { Ok(None) }.boxed()
     }
 }
--- a/crates/proofs/src/caller.rs
+++ b/crates/proofs/src/caller.rs
@@ -1,34 +1,34 @@
-//! Callers: they send requests, and write down what they were told.
+//! Callers: they send requests and record the outcome of each attempt.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-use crate::table::{KEY, MODEL};
+use crate::table::{API_KEY, MODEL};
 
-/// What ends a stream.
+/// Last event of a complete stream.
 const END_MARK: &[u8] = b"data: [DONE]\n\n";
 
-/// What became of one attempt, as its caller saw it.
+/// Outcome of one attempt, as its caller sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
-    /// The whole answer.
+pub enum AttemptOutcome {
+    /// The response is complete.
     Done {
-        /// The text.
+        /// Text of the response.
         text: String,
-        /// Tokens generated, as the answer says.
+        /// Number of tokens generated, from the usage of the response.
         output_tokens: u64,
     },
-    /// It ran nowhere.
+    /// The daemon answered that no server ran the request.
     NotRun {
-        /// The machine-readable code.
+        /// Error code.
         code: String,
-        /// When to come back.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// The machine-readable code, or what the connection did.
+        /// Error code, or a description of how the connection failed.
         code: String,
     },
 }
@@ -36,77 +36,77 @@
 /// One attempt of a caller.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The idempotency key.
+    /// Idempotency key of the request.
     pub key: String,
-    /// The daemon's name for the attempt.
+    /// The daemon's id of the attempt.
     pub attempt: Option<String>,
-    /// The run that the answer came from.
+    /// Id of the run that produced the response.
     pub run: Option<String>,
-    /// What the caller was told.
-    pub told: Told,
+    /// Outcome of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
 /// A chat request.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// The idempotency key.
+pub struct ChatRequest {
+    /// Idempotency key.
     pub key: String,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Output limit.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
-    /// Whether to ask for a stream.
+    /// Whether to request a stream.
     pub stream: bool,
-    /// Whether it may run only once.
-    pub once: bool,
-    /// How long the caller waits.
-    pub patience: Duration,
+    /// Whether the request must not run more than once.
+    pub non_repeatable: bool,
+    /// Time for which the caller waits for the complete response.
+    pub timeout: Duration,
 }
 
-impl Ask {
-    /// A streamed request with this key.
+impl ChatRequest {
+    /// Creates a repeatable, streamed request with this key and a prompt derived from it.
     pub fn new(key: impl Into<String>) -> Self {
         let key = key.into();
-        Ask {
+        ChatRequest {
             prompt: format!("summarise shift {key}"),
             key,
             max_tokens: 8,
             stream: true,
-            once: false,
-            patience: Duration::from_secs(20),
+            non_repeatable: false,
+            timeout: Duration::from_secs(20),
         }
     }
 
-    /// Asks for this many tokens.
+    /// Sets the maximum number of output tokens.
     #[must_use]
     pub fn max_tokens(mut self, tokens: u64) -> Self {
         self.max_tokens = tokens;
         self
     }
 
-    /// Asks for the whole answer at once.
+    /// Requests a response that is not streamed.
     #[must_use]
-    pub fn whole(mut self) -> Self {
+    pub fn unstreamed(mut self) -> Self {
         self.stream = false;
         self
     }
 
     /// Marks the request as not repeatable.
     #[must_use]
-    pub fn once(mut self) -> Self {
-        self.once = true;
+    pub fn non_repeatable(mut self) -> Self {
+        self.non_repeatable = true;
         self
     }
 
-    /// Waits this long for the whole answer.
+    /// Sets the time for which the caller waits for the complete response.
     #[must_use]
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 }
 
-/// Sends requests to daemons.
+/// HTTP client that sends requests to daemons with the workspace's key.
 #[derive(Debug, Clone)]
 pub struct Caller {
     http: reqwest::Client,
@@ -115,72 +115,76 @@
 impl Default for Caller {
     fn default() -> Self {
         let http = reqwest::Client::builder().no_proxy().build();
-        Caller { http: http.expect("an HTTP client without TLS needs nothing from the machine") }
+        Caller { http: http.expect("an HTTP client without TLS needs no system resources") }
     }
 }
 
 impl Caller {
-    /// Sends a chat request to the daemon at this address.
-    pub async fn ask(&self, daemon: &str, ask: &Ask) -> Attempt {
+    /// Sends a chat request to the daemon at this address and returns the attempt.
+    pub async fn chat(&self, daemon: &str, request: &ChatRequest) -> Attempt {
         let mut body = json!({
-            "model": MODEL, "max_tokens": ask.max_tokens, "stream": ask.stream,
-            "messages": [{"role": "user", "content": ask.prompt}],
+            "model": MODEL, "max_tokens": request.max_tokens, "stream": request.stream,
+            "messages": [{"role": "user", "content": request.prompt}],
         });
-        if ask.stream {
+        if request.stream {
             body["stream_options"] = json!({"include_usage": true});
         }
         let mut req = self
             .http
             .post(format!("http://{daemon}/v1/chat/completions"))
-            .bearer_auth(KEY)
-            .header("idempotency-key", &ask.key)
-            .timeout(ask.patience)
+            .bearer_auth(API_KEY)
+            .header("idempotency-key", &request.key)
+            .timeout(request.timeout)
             .json(&body);
-        if ask.once {
+        if request.non_repeatable {
             req = req.header("x-bankcove-repeatable", "false");
         }
-        let mut attempt =
-            Attempt { key: ask.key.clone(), attempt: None, run: None, told: lost("no answer") };
+        let mut attempt = Attempt {
+            key: request.key.clone(),
+            attempt: None,
+            run: None,
+            outcome: unknown_outcome("no answer"),
+        };
         let res = match req.send().await {
             Ok(res) => res,
             Err(e) if e.is_connect() => {
-                attempt.told = not_run("connection_refused", None);
+                attempt.outcome = not_run("connection_refused", None);
                 return attempt;
             }
             Err(_) => return attempt,
         };
-        attempt.attempt = attempt_of(&res);
+        attempt.attempt = attempt_header(&res);
         let is_ok = res.status().is_success();
         let Some(body) = read_body(res).await else {
-            attempt.told = lost("broken off");
+            attempt.outcome = unknown_outcome("connection broken");
             return attempt;
         };
-        let (told, run) = if !is_ok {
-            (read_problem(&serde_json::from_str(&body).unwrap_or_default()), None)
-        } else if ask.stream {
-            read_stream(&body)
+        let (outcome, run) = if !is_ok {
+            (parse_error_body(&serde_json::from_str(&body).unwrap_or_default()), None)
+        } else if request.stream {
+            parse_stream(&body)
         } else {
-            read_whole(&serde_json::from_str(&body).unwrap_or_default())
+            parse_completion(&serde_json::from_str(&body).unwrap_or_default())
         };
-        attempt.told = told;
+        attempt.outcome = outcome;
         attempt.run = run;
         attempt
     }
 
-    /// Sends the same request to daemons in turn until it is done, or `tries`
-    /// are used up.
-    pub async fn ask_until_done(
+    /// Sends the same request to the daemons in turn until it is done, at most `max_attempts`
+    /// times, and returns all attempts.
+    pub async fn chat_until_done(
         &self,
         daemons: &[String],
-        ask: &Ask,
-        tries: usize,
+        request: &ChatRequest,
+        max_attempts: usize,
     ) -> Vec<Attempt> {
         let mut attempts = Vec::new();
-        for n in 0..tries {
-            let attempt = self.ask(&daemons[n % daemons.len()], ask).await;
-            let done = matches!(attempt.told, Told::Done { .. });
+        for n in 0..max_attempts {
+            let attempt = self.chat(&daemons[n % daemons.len()], request).await;
+            let is_done = matches!(attempt.outcome, AttemptOutcome::Done { .. });
             attempts.push(attempt);
-            if done {
+            if is_done {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -188,26 +192,26 @@
         attempts
     }
 
-    /// Posts to a plain service; none when no answer comes.
+    /// Posts to a plain service through a daemon; `None` if no complete response arrives.
     pub async fn post(
         &self,
         daemon: &str,
         path: &str,
         key: &str,
         body: &str,
-        patience: Duration,
-    ) -> Option<Posted> {
-        let req = self.http.post(format!("http://{daemon}{path}")).bearer_auth(KEY);
-        let req = req.header("idempotency-key", key).timeout(patience).body(body.to_owned());
+        timeout: Duration,
+    ) -> Option<ServiceResponse> {
+        let req = self.http.post(format!("http://{daemon}{path}")).bearer_auth(API_KEY);
+        let req = req.header("idempotency-key", key).timeout(timeout).body(body.to_owned());
         let res = req.send().await.ok()?;
         let status = res.status().as_u16();
-        let attempt = attempt_of(&res);
-        Some(Posted { status, attempt, body: res.json().await.ok()? })
+        let attempt = attempt_header(&res);
+        Some(ServiceResponse { status, attempt, body: res.json().await.ok()? })
     }
 }
 
-/// Reads an answer as callers do: a stream has ended at its end mark, whatever
-/// becomes of the connection afterwards. None when it breaks off before.
+/// Reads a response body. Like other callers, it takes a stream as complete at its end mark,
+/// whatever happens to the connection afterwards. Returns `None` if the connection breaks before.
 async fn read_body(mut res: reqwest::Response) -> Option<String> {
     let mut bytes = Vec::new();
     while let Some(chunk) = res.chunk().await.ok()? {
@@ -219,70 +223,72 @@
     String::from_utf8(bytes).ok()
 }
 
-/// The answer to a call of a plain service.
+/// The response to a call of a plain service.
 #[derive(Debug, Clone)]
-pub struct Posted {
-    /// The status.
+pub struct ServiceResponse {
+    /// HTTP status.
     pub status: u16,
-    /// The daemon's name for the attempt.
+    /// The daemon's id of the attempt.
     pub attempt: Option<String>,
-    /// The body.
+    /// Body of the response.
     pub body: Value,
 }
 
-fn attempt_of(res: &reqwest::Response) -> Option<String> {
+fn attempt_header(res: &reqwest::Response) -> Option<String> {
     let header = res.headers().get("x-bankcove-attempt");
     header.and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-fn lost(code: &str) -> Told {
-    Told::Unknown { code: code.to_owned() }
+fn unknown_outcome(code: &str) -> AttemptOutcome {
+    AttemptOutcome::Unknown { code: code.to_owned() }
 }
 
-fn not_run(code: &str, retry_after_ms: Option<u64>) -> Told {
-    Told::NotRun { code: code.to_owned(), retry_after_ms }
+fn not_run(code: &str, retry_after_ms: Option<u64>) -> AttemptOutcome {
+    AttemptOutcome::NotRun { code: code.to_owned(), retry_after_ms }
 }
 
-/// Reads what an error body tells.
-pub fn read_problem(body: &Value) -> Told {
+/// Returns the outcome reported by an error body.
+pub fn parse_error_body(body: &Value) -> AttemptOutcome {
     let error = &body["error"];
     let code = error["code"].as_str().unwrap_or("unreadable");
     match error["outcome"].as_str() {
         Some("not_run") => not_run(code, error["retry_after_ms"].as_u64()),
-        _ => lost(code),
+        _ => unknown_outcome(code),
     }
 }
 
-fn read_whole(body: &Value) -> (Told, Option<String>) {
+/// Returns the outcome and the run id of a response that was not streamed.
+fn parse_completion(body: &Value) -> (AttemptOutcome, Option<String>) {
     let run = body["id"].as_str().map(str::to_owned);
     let text = body["choices"][0]["message"]["content"].as_str();
     let tokens = body["usage"]["completion_tokens"].as_u64();
     match (text, tokens) {
         (Some(text), Some(output_tokens)) => {
-            (Told::Done { text: text.to_owned(), output_tokens }, run)
+            (AttemptOutcome::Done { text: text.to_owned(), output_tokens }, run)
         }
-        _ => (lost("unreadable"), run),
+        _ => (unknown_outcome("unreadable"), run),
     }
 }
 
-fn read_stream(body: &str) -> (Told, Option<String>) {
+/// Returns the outcome and the run id of a streamed response.
+fn parse_stream(body: &str) -> (AttemptOutcome, Option<String>) {
     let mut text = String::new();
     let mut run = None;
     let mut tokens = None;
     for data in body.lines().filter_map(|line| line.strip_prefix("data:")).map(str::trim) {
         if data == "[DONE]" {
             return match tokens {
-                Some(output_tokens) => (Told::Done { text, output_tokens }, run),
-                None => (lost("no usage"), run),
+                Some(output_tokens) => (AttemptOutcome::Done { text, output_tokens }, run),
+                None => (unknown_outcome("no usage"), run),
             };
         }
-        let piece: Value = serde_json::from_str(data).unwrap_or_default();
-        if piece["error"].is_object() {
-            return (read_problem(&piece), run);
+        let chunk: Value = serde_json::from_str(data).unwrap_or_default();
+        if chunk["error"].is_object() {
+            return (parse_error_body(&chunk), run);
         }
-        run = piece["id"].as_str().map(str::to_owned).or(run);
-        text += piece["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
-        tokens = piece["usage"]["completion_tokens"].as_u64().or(tokens);
+        run = chunk["id"].as_str().map(str::to_owned).or(run);
+        text += chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
+        tokens = chunk["usage"]["completion_tokens"].as_u64().or(tokens);
     }
-    (lost("no end mark"), run)
+    (unknown_outcome("no end mark"), run)
 }
