--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -77,14 +77,14 @@
             daemons.push(lifecycle::RunningDaemon::start(daemon).await?);
         }
         let demo = Demo { store, servers, daemons, http };
-        demo.list_hosts().await?;
-        demo.apply(&table).await?;
+        demo.write_host_list().await?;
+        demo.apply_table(&table).await?;
         demo.wait_until_ready().await?;
         Ok(demo)
     }
 
     /// Writes the daemons to the store's host list.
-    async fn list_hosts(&self) -> Result<()> {
+    async fn write_host_list(&self) -> Result<()> {
         let host = |running: &lifecycle::RunningDaemon| Host {
             name: running.daemon.cfg.name.clone(),
             hall: running.daemon.cfg.hall.clone(),
@@ -98,7 +98,7 @@
         sent.map(|_| ()).map_err(|e| Error::Demo(e.to_string()))
     }
 
-    async fn apply(&self, table: &Table) -> Result<()> {
+    async fn apply_table(&self, table: &Table) -> Result<()> {
         let edit = difference(&Table::default(), table, new_change_id(), "demo".to_owned());
         let cfg = &self.daemons[0].daemon.cfg;
         let url = format!("http://{}/v1/table/edits", operator_address(cfg));
--- a/crates/core/tests/allotment.rs
+++ b/crates/core/tests/allotment.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    fn ask(&mut self, from: usize, to: usize, need: Tokens, delivery: Delivery) {
+    fn request_tokens(&mut self, from: usize, to: usize, need: Tokens, delivery: Delivery) {
         let peer = self.holders[to].incarnation();
         let request =
             self.holders[from].token_request(&budget(), Some(peer), need, &terms(), self.now);
@@ -107,7 +107,7 @@
         self.now += 200;
         match step {
             Step::Request { from, need, delivery } if from != OWNER => {
-                self.ask(from, OWNER, need, delivery)
+                self.request_tokens(from, OWNER, need, delivery)
             }
             Step::Request { .. } => {}
             Step::Borrow { from, lender, want, delivery } if from != lender => {
@@ -117,7 +117,7 @@
             Step::GiveBack { from, delivery } if from != OWNER => {
                 let owner = self.holders[OWNER].incarnation();
                 self.holders[from].return_surplus_to_owner(&budget(), owner, &terms(), self.now);
-                self.ask(from, OWNER, 0, delivery);
+                self.request_tokens(from, OWNER, 0, delivery);
             }
             Step::GiveBack { .. } => {}
             Step::Reserve { at, tokens } => {
@@ -146,7 +146,7 @@
     }
 
     /// Returns the tokens that were spent, are reserved or are free, over all daemons.
-    fn total(&self) -> Tokens {
+    fn spent_or_held(&self) -> Tokens {
         let open = self.open.iter().flatten().map(Reservation::tokens).sum::<Tokens>();
         let free = self.holders.iter().map(|holder| holder.free(&budget())).sum::<Tokens>();
         self.spent + open + free
@@ -184,7 +184,7 @@
         let mut world = World::new();
         for step in steps {
             world.step(step);
-            prop_assert!(world.total() <= TOTAL, "{} of {TOTAL}", world.total());
+            prop_assert!(world.spent_or_held() <= TOTAL, "{} of {TOTAL}", world.spent_or_held());
         }
     }
 }
@@ -192,9 +192,9 @@
 #[test]
 fn next_answer_recovers_a_lost_one() {
     let mut world = World::new();
-    world.ask(1, OWNER, 300, Delivery::AnswerLost);
+    world.request_tokens(1, OWNER, 300, Delivery::AnswerLost);
     assert_eq!(world.holders[1].free(&budget()), 0);
-    world.ask(1, OWNER, 300, Delivery::Both);
+    world.request_tokens(1, OWNER, 300, Delivery::Both);
     assert_eq!(world.holders[1].free(&budget()), 300);
     assert_eq!(world.holders[OWNER].free(&budget()), TOTAL - 300);
 }
@@ -202,15 +202,15 @@
 #[test]
 fn returned_tokens_are_counted_once() {
     let mut world = World::new();
-    world.ask(1, OWNER, 5_000, Delivery::Both);
+    world.request_tokens(1, OWNER, 5_000, Delivery::Both);
     world.now += 60_000;
     world.step(Step::GiveBack { from: 1, delivery: Delivery::RequestLost });
     let kept = world.holders[1].free(&budget());
     assert!(kept < 1_000, "{kept} tokens kept");
     for _ in 0..3 {
-        world.ask(1, OWNER, 0, Delivery::Both);
+        world.request_tokens(1, OWNER, 0, Delivery::Both);
     }
-    assert_eq!(world.total(), TOTAL);
+    assert_eq!(world.spent_or_held(), TOTAL);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let mut owner = Holder::new(Incarnation(1));
     owner.set_outlook(&budget(), full_outlook(), 0);
     world.holders[1].record_allotted(&budget(), nothing, 0);
-    world.ask(1, OWNER, 400, Delivery::Both);
+    world.request_tokens(1, OWNER, 400, Delivery::Both);
     world.step(Step::Reserve { at: 1, tokens: 400 });
     let request =
         world.holders[1].token_request(&budget(), Some(Incarnation(1)), 0, &terms(), world.now);
@@ -261,7 +261,7 @@
 #[test]
 fn repeated_reports_of_a_transfer_are_counted_once() {
     let mut world = World::new();
-    world.ask(1, OWNER, 400, Delivery::Both);
+    world.request_tokens(1, OWNER, 400, Delivery::Both);
     let (from, to) = (world.holders[1].incarnation(), world.holders[2].incarnation());
     for _ in 0..3 {
         let sum = world.holders[1].transfer_all(&budget(), to);
@@ -269,7 +269,7 @@
     }
     assert_eq!(world.holders[1].free(&budget()), 0);
     assert_eq!(world.holders[2].free(&budget()), 400);
-    assert_eq!(world.total(), TOTAL);
+    assert_eq!(world.spent_or_held(), TOTAL);
     assert_eq!(world.holders[1].retire(&budget()), 0);
 }
 
@@ -277,10 +277,10 @@
 /// callers would be refused while the whole budget is left.
 #[test]
 fn owner_without_outlook_reports_none() {
-    let (mut owner, mut asker) = (Holder::new(Incarnation(1)), Holder::new(Incarnation(2)));
+    let (mut owner, mut requester) = (Holder::new(Incarnation(1)), Holder::new(Incarnation(2)));
     owner.record_granted(&budget(), 100);
     owner.record_opened(&budget(), 100);
-    let request = asker.token_request(&budget(), Some(Incarnation(1)), 40, &terms(), 0);
+    let request = requester.token_request(&budget(), Some(Incarnation(1)), 40, &terms(), 0);
     let allotted = owner.allot(&request, 0).expect("it holds enough");
     assert_eq!((allotted.cumulative, allotted.outlook), (40, None));
     owner.set_outlook(&budget(), full_outlook(), 0);
--- a/crates/core/tests/budget_properties.rs
+++ b/crates/core/tests/budget_properties.rs
@@ -16,8 +16,8 @@
     ReserveAndSettle { owner: usize, holder: usize, tokens: u64, used: u64 },
     Reserve { owner: usize, holder: usize, tokens: u64 },
     SettleOldest { used: u64 },
-    StoreAway(bool),
-    LoseAnswer,
+    StoreUnavailable(bool),
+    LoseReply,
     TopUp { owner: usize, id: u8 },
     Wait(u64),
     Kill(usize),
@@ -34,8 +34,8 @@
         2 => (daemon.clone(), daemon.clone(), 1..300u64)
             .prop_map(|(owner, holder, tokens)| Step::Reserve { owner, holder, tokens }),
         2 => (0..300u64).prop_map(|used| Step::SettleOldest { used }),
-        1 => any::<bool>().prop_map(Step::StoreAway),
-        1 => Just(Step::LoseAnswer),
+        1 => any::<bool>().prop_map(Step::StoreUnavailable),
+        1 => Just(Step::LoseReply),
         1 => (daemon, 0..3u8).prop_map(|(owner, id)| Step::TopUp { owner, id }),
         1 => (1..2_000u64).prop_map(Step::Wait),
         1 => (0..DAEMONS).prop_map(Step::Kill),
@@ -65,8 +65,8 @@
                         world.settle(holder, reservation, used);
                     }
                 }
-                Step::StoreAway(away) => world.store_unavailable = away,
-                Step::LoseAnswer => world.lose_next_reply = true,
+                Step::StoreUnavailable(is_unavailable) => world.store_unavailable = is_unavailable,
+                Step::LoseReply => world.lose_next_reply = true,
                 Step::TopUp { owner, id } => world.top_up(owner, &format!("t-{id}"), 100),
                 Step::Wait(millis) => world.now += millis,
                 Step::Kill(daemon) => world.dead[daemon] = true,
@@ -86,10 +86,10 @@
 
     #[test]
     fn no_request_is_refused_while_enough_tokens_are_free(
-        asks in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
+        requests in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
     ) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
-        for (owner, holder, tokens, used) in asks {
+        for (owner, holder, tokens, used) in requests {
             let left = TOKENS - world.spent();
             match world.reserve(owner, holder, tokens) {
                 Some(reservation) => world.settle(holder, reservation, used),
@@ -101,10 +101,10 @@
 
     #[test]
     fn retired_fleet_keeps_exactly_the_spent_tokens(
-        asks in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
+        requests in proptest::collection::vec((0..DAEMONS, 0..DAEMONS, 1..200u64, 0..200u64), 1..40),
     ) {
         let mut world = World::new(DAEMONS as u64, TOKENS);
-        for (owner, holder, tokens, used) in asks {
+        for (owner, holder, tokens, used) in requests {
             if let Some(reservation) = world.reserve(owner, holder, tokens) {
                 world.settle(holder, reservation, used);
             }
--- a/crates/core/tests/common/direct.rs
+++ b/crates/core/tests/common/direct.rs
@@ -42,17 +42,23 @@
     /// Terms of the budget's row.
     pub terms: DrawTerms,
     stored: (u64, Shard),
-    starts: u64,
+    last_incarnation: u64,
 }
 
 impl World {
     /// Creates as many daemons as `terms` specify; they hold no tokens yet.
     pub fn new(terms: DrawTerms) -> Self {
         let (stored, daemons) = ((0, Shard::default()), Vec::new());
-        let mut world =
-            World { now: 0, daemons, calls_advance_clock: true, terms, stored, starts: 0 };
+        let mut world = World {
+            now: 0,
+            daemons,
+            calls_advance_clock: true,
+            terms,
+            stored,
+            last_incarnation: 0,
+        };
         for n in 0..terms.daemons as usize {
-            let daemon = world.start(n);
+            let daemon = world.start_daemon(n);
             world.daemons.push(daemon);
         }
         world
@@ -65,13 +71,13 @@
 
     /// Kills a daemon and starts it again. Returns its open reservations.
     pub fn restart(&mut self, n: usize) -> Vec<Reservation> {
-        let next = self.start(n);
+        let next = self.start_daemon(n);
         std::mem::replace(&mut self.daemons[n], next).open
     }
 
-    fn start(&mut self, n: usize) -> Daemon {
-        self.starts += 1;
-        let incarnation = Incarnation(self.starts);
+    fn start_daemon(&mut self, n: usize) -> Daemon {
+        self.last_incarnation += 1;
+        let incarnation = Incarnation(self.last_incarnation);
         let owner = Owner::new(incarnation, &address(n), 100).without_collecting();
         Daemon { owner, holder: Holder::new(incarnation), open: Vec::new(), busy_until: 0 }
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -50,7 +50,7 @@
     pub dead: Vec<bool>,
     owners: Vec<Owner>,
     holders: Vec<Holder>,
-    marks: Vec<WitnessRecords>,
+    witness_records: Vec<WitnessRecords>,
 }
 
 impl World {
@@ -63,7 +63,7 @@
             tokens,
             stored: (0, Shard::default()),
             dead: vec![false; daemons as usize],
-            marks: vec![WitnessRecords::default(); daemons as usize],
+            witness_records: vec![WitnessRecords::default(); daemons as usize],
             owners: (0..daemons).map(owner).collect(),
             holders: (0..daemons).map(|n| Holder::new(Incarnation(n))).collect(),
         }
@@ -114,7 +114,7 @@
         let me = Incarnation(holder as u64);
         let is_approved = opening.witnesses.iter().all(|witness| {
             let n = witness.incarnation.0 as usize;
-            !self.dead[n] && self.marks[n].open(me, &budget(), opening.opened)
+            !self.dead[n] && self.witness_records[n].open(me, &budget(), opening.opened)
         });
         is_approved && self.holders[holder].confirm_opening(&budget(), &opening)
     }
@@ -132,7 +132,7 @@
         let witnesses = grant.map(|grant| grant.witnesses.clone()).unwrap_or_default();
         let live = witnesses.iter().map(|w| w.incarnation).find(|w| !self.dead[w.0 as usize]);
         let Some(witness) = live else { return };
-        let opened = self.marks[witness.0 as usize].close(reclaimed, &budget());
+        let opened = self.witness_records[witness.0 as usize].close(reclaimed, &budget());
         self.run(owner, Request::Reclaim { budget: budget(), holder: reclaimed, witness, opened });
     }
 
@@ -197,7 +197,7 @@
                     Command::Load => events.push_back(self.load()),
                     Command::Write(version, shard) => events.push_back(self.write(version, shard)),
                     Command::Collect(budget, holders) => {
-                        events.push_back(self.gather(owner, budget, &holders));
+                        events.push_back(self.collect(owner, budget, &holders));
                     }
                     Command::Reply(_, reply) => return self.apply_reply(&request, reply),
                     Command::Transfer { own_grant, draw, max, reply, .. } => {
@@ -205,7 +205,7 @@
                             self.holders[owner].record_granted(&budget(), granted);
                             self.holders[owner].record_opened(&budget(), opened);
                         }
-                        return self.give(owner, &draw, max, reply);
+                        return self.execute_transfer(owner, &draw, max, reply);
                     }
                     Command::WakeAt(at) => {
                         self.now = self.now.max(at);
@@ -238,7 +238,7 @@
         Event::Written(version + 1)
     }
 
-    fn gather(&mut self, owner: usize, budget: Name, holders: &[HolderRef]) -> Event {
+    fn collect(&mut self, owner: usize, budget: Name, holders: &[HolderRef]) -> Event {
         assert!(holders.iter().all(|holder| holder.incarnation.0 != owner as u64));
         let me = Incarnation(owner as u64);
         self.open(owner, Tokens::MAX);
@@ -257,7 +257,7 @@
         Event::Collected { budget, free, more_expected: false }
     }
 
-    fn give(&mut self, owner: usize, draw: &Draw, most: Tokens, reply: Reply) -> Answer {
+    fn execute_transfer(&mut self, owner: usize, draw: &Draw, max: Tokens, reply: Reply) -> Answer {
         let holder = draw.holder.0 as usize;
         if holder == owner && self.holders[owner].free(&draw.budget) < draw.need {
             return Answer::Refused;
@@ -267,7 +267,7 @@
             if !from.can_transfer(&draw.budget, draw.holder, draw.received, draw.need) {
                 return Answer::Refused;
             }
-            let sent = from.transfer(&draw.budget, draw.holder, draw.received, most);
+            let sent = from.transfer(&draw.budget, draw.holder, draw.received, max);
             self.holders[holder].record_received(&draw.budget, Incarnation(owner as u64), sent);
         }
         self.apply_reply(&Request::Draw(draw.clone()), reply)
--- a/crates/core/tests/crash_fleet/main.rs
+++ b/crates/core/tests/crash_fleet/main.rs
@@ -79,7 +79,7 @@
 
 /// Maximum fraction of harmless requests refused during frequent crashes. A request has three
 /// crashes without a success in between only if two repeats both meet a crash.
-const MAX_REFUSED: f64 = 0.001;
+const MAX_REFUSED_FRACTION: f64 = 0.001;
 
 /// Servers crash on their own at a fixed interval for a minute, and callers retry up to three
 /// times. One request in ten is identical to others of its caller.
@@ -108,13 +108,13 @@
         refused += sim.refused.len();
     }
     println!("{refused} of {sent} harmless requests refused");
-    let share = refused as f64 / sent as f64;
-    assert!(share < MAX_REFUSED, "{refused} of {sent} refused");
+    let fraction = refused as f64 / sent as f64;
+    assert!(fraction < MAX_REFUSED_FRACTION, "{refused} of {sent} refused");
 }
 
 /// Maximum fraction of simulations in which a harmless request is blocked because it always runs
 /// beside the one that crashes its servers: those in which four servers crashed under both.
-const MAX_BLOCKED_CONCURRENT: f64 = 0.05;
+const MAX_BLOCKED_FRACTION: f64 = 0.05;
 
 /// Both requests are sent together, to the same host and at first to the same server, so that
 /// they have the same crashes.
@@ -138,7 +138,7 @@
     }
     println!("blocked in {blocked} of {simulations} simulations, {late_sends} late sends at most");
     assert!(late_sends <= MAX_LATE_SENDS, "{late_sends} late sends");
-    assert!((blocked as f64) < MAX_BLOCKED_CONCURRENT * simulations as f64, "{blocked}");
+    assert!((blocked as f64) < MAX_BLOCKED_FRACTION * simulations as f64, "{blocked}");
 }
 
 /// All servers of a pool fail at the same time, several times, while the same few requests are
--- a/crates/core/tests/crash_fleet/simulation.rs
+++ b/crates/core/tests/crash_fleet/simulation.rs
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Default, Clone)]
 pub struct Server {
-    pub starts: u64,
+    pub restarts: u64,
     pub available_at: Millis,
     pub runs: Vec<Run>,
 }
@@ -257,8 +257,8 @@
         let server = &mut self.servers[number];
         server.available_at = self.now + RESTART_MS;
         let name = Name::from(format!("i-{number}"));
-        let start = ServerInstance { name, started_ms: server.starts };
-        server.starts += 1;
+        let instance = ServerInstance { name, started_ms: server.restarts };
+        server.restarts += 1;
         let runs = std::mem::take(&mut server.runs);
         if runs.iter().any(|run| run.request == FATAL) {
             self.crashes += 1;
@@ -268,12 +268,12 @@
         }
         for run in &runs {
             if !self.is_down(run.daemon) {
-                self.trackers[run.daemon].record_disconnect(self.now, &start, run.request);
+                self.trackers[run.daemon].record_disconnect(self.now, &instance, run.request);
             }
         }
         for daemon in 0..self.trackers.len() {
             if runs.iter().any(|run| run.daemon == daemon) && !self.is_down(daemon) {
-                let updates = self.trackers[daemon].record_crash(self.now, &start);
+                let updates = self.trackers[daemon].record_crash(self.now, &instance);
                 self.send_facts(daemon, &updates);
             }
         }
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -21,11 +21,11 @@
     number: u32,
     running: &[Fingerprint],
 ) -> CrashFacts {
-    let start = server(number);
+    let instance = server(number);
     for request in running {
-        tracker.record_disconnect(now, &start, *request);
+        tracker.record_disconnect(now, &instance, *request);
     }
-    tracker.record_crash(now, &start)
+    tracker.record_crash(now, &instance)
 }
 
 /// Decides after all peers have reported what they knew at `now`; returns the updates for peers.
@@ -72,12 +72,12 @@
 }
 
 #[test]
-fn crashes_of_different_starts_of_a_server_count_separately() {
+fn crashes_of_different_instances_of_a_server_count_separately() {
     let mut tracker = CrashTracker::default();
     for started_ms in 1..=3 {
-        let start = ServerInstance { name: Name::from("i-1"), started_ms };
-        tracker.record_disconnect(started_ms * 1_000, &start, FATAL);
-        tracker.record_crash(started_ms * 1_000, &start);
+        let instance = ServerInstance { name: Name::from("i-1"), started_ms };
+        tracker.record_disconnect(started_ms * 1_000, &instance, FATAL);
+        tracker.record_crash(started_ms * 1_000, &instance);
     }
     decide(&mut tracker, 3_000);
     assert_eq!(tracker.verdict(FATAL), Verdict::Blocked);
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -42,8 +42,8 @@
                     self.fleet.draw(n, short.missing, fault);
                     let now = self.fleet.now;
                     let daemon = &mut self.fleet.daemons[n];
-                    let again = daemon.holder.reserve(&budget(), tokens, now);
-                    daemon.open.extend(again);
+                    let reservation = daemon.holder.reserve(&budget(), tokens, now);
+                    daemon.open.extend(reservation);
                     return;
                 }
                 // The newest reservation stays open, and the one before it is settled.
--- a/crates/core/tests/forwarded_draws.rs
+++ b/crates/core/tests/forwarded_draws.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_holder_that_keeps_for_the_fleet_has_the_share_of_all_holders() {
+fn a_holder_that_prefetches_for_the_fleet_has_the_share_of_all_holders() {
     let mut world = World::new();
     for n in 0..DAEMONS {
         world.draw(n, 0, 10, StoreFault::None);
--- a/crates/core/tests/freshness_by_gossip.rs
+++ b/crates/core/tests/freshness_by_gossip.rs
@@ -23,7 +23,7 @@
 
 /// Returns the smallest age of a view at `until`, if all daemons read the store at 1 s and never
 /// again. Ages are counted from the request for them if `from_request`, else from their receipt.
-fn youngest_age(from_request: bool, until: Millis) -> Millis {
+fn smallest_age(from_request: bool, until: Millis) -> Millis {
     let mut views = vec![Freshness::default(); DAEMONS];
     for view in &mut views {
         view.record_table_read(1_000);
@@ -48,11 +48,11 @@
 #[test]
 fn ages_counted_from_the_request_are_never_too_small() {
     for until in [2_000, 6_000, 11_000, 31_000] {
-        assert!(youngest_age(true, until) >= until - 1_000, "at {until} ms");
+        assert!(smallest_age(true, until) >= until - 1_000, "at {until} ms");
     }
 }
 
 #[test]
 fn ages_counted_from_the_receipt_hide_a_stale_view() {
-    assert!(youngest_age(false, 31_000) < STALE_VIEW_MS);
+    assert!(smallest_age(false, 31_000) < STALE_VIEW_MS);
 }
--- a/crates/core/tests/hints.rs
+++ b/crates/core/tests/hints.rs
@@ -8,9 +8,9 @@
 const LATER: &str = "Thu, 03 Dec 2026 08:01:30 GMT";
 
 #[parameterized(
-    mark = { &["1"], Hint::Given(()) },
+    one = { &["1"], Hint::Given(()) },
     blanks = { &[" 1 "], Hint::Given(()) },
-    two_marks = { &["1", "1"], Hint::Given(()) },
+    two_ones = { &["1", "1"], Hint::Given(()) },
     one_of_two = { &["0", "1"], Hint::Given(()) },
     one_of_a_list = { &["soon, 1"], Hint::Given(()) },
     nothing = { &[], Hint::Absent },
@@ -18,7 +18,7 @@
     text = { &["soon"], Hint::Unreadable("soon".to_owned()) },
     empty = { &[""], Hint::Unreadable(String::new()) },
 )]
-fn only_the_mark_announces_leaving(values: &[&'static str], hint: Hint<()>) {
+fn only_the_value_1_announces_leaving(values: &[&'static str], hint: Hint<()>) {
     assert_eq!(read_leaving(values.iter().copied()), hint);
 }
 
--- a/crates/core/tests/holder.rs
+++ b/crates/core/tests/holder.rs
@@ -67,12 +67,12 @@
 
 #[test]
 fn closing_affects_one_holder_and_budget_only() {
-    let mut marks = WitnessRecords::default();
-    assert!(marks.open(Incarnation(1), &budget(), 40));
-    assert_eq!(marks.close(Incarnation(1), &budget()), 40);
-    assert!(!marks.open(Incarnation(1), &budget(), 50));
-    assert!(marks.open(Incarnation(1), &Name::from("other"), 50));
-    assert!(marks.open(Incarnation(2), &budget(), 50));
+    let mut records = WitnessRecords::default();
+    assert!(records.open(Incarnation(1), &budget(), 40));
+    assert_eq!(records.close(Incarnation(1), &budget()), 40);
+    assert!(!records.open(Incarnation(1), &budget(), 50));
+    assert!(records.open(Incarnation(1), &Name::from("other"), 50));
+    assert!(records.open(Incarnation(2), &budget(), 50));
 }
 
 #[test]
--- a/crates/core/tests/limit_issuer.rs
+++ b/crates/core/tests/limit_issuer.rs
@@ -12,7 +12,7 @@
     ServerInstance { name: Name::from("i-1"), started_ms: 7 }
 }
 
-fn ask(
+fn issue(
     issuer: &mut Issuer,
     now: Millis,
     rank: usize,
@@ -27,20 +27,21 @@
 }
 
 /// Number of permits from an issuer that is asked each millisecond for `length_ms` from 10 s on.
-fn issued(rank: usize, per_s: f64, length_ms: Millis) -> u32 {
+fn permits_issued(rank: usize, per_s: f64, length_ms: Millis) -> u32 {
     let mut issuer = Issuer::default();
     let times = 10_000..10_000 + length_ms;
-    times.map(|now| ask(&mut issuer, now, rank, per_s, now % 7, 0).permits).sum()
+    times.map(|now| issue(&mut issuer, now, rank, per_s, now % 7, 0).permits).sum()
 }
 
 #[parameterized(low = { 0.7 }, one = { 1.0 }, some = { 12.0 }, many = { 400.0 })]
-fn all_issuers_together_stay_below_one_and_a_third_of_the_limit(per_s: f64) {
+fn all_issuers_together_stay_below_1_3_times_the_limit(per_s: f64) {
     let seconds = 100.0;
-    let first = f64::from(issued(0, per_s, 100_000));
+    let first = f64::from(permits_issued(0, per_s, 100_000));
     assert!(first >= 0.8 * per_s * seconds, "{first} issued by the first issuer alone");
-    let all: u32 = (0..ISSUERS_PER_SERVER + 3).map(|rank| issued(rank, per_s, 100_000)).sum();
-    let most = 1.3 * per_s * seconds + 4.0;
-    assert!(f64::from(all) <= most, "{all} issued, more than {most}");
+    let all: u32 =
+        (0..ISSUERS_PER_SERVER + 3).map(|rank| permits_issued(rank, per_s, 100_000)).sum();
+    let bound = 1.3 * per_s * seconds + 4.0;
+    assert!(f64::from(all) <= bound, "{all} issued, more than {bound}");
 }
 
 #[test]
@@ -60,17 +61,17 @@
 
 #[test]
 fn a_limit_of_zero_still_allows_a_few_requests() {
-    let few = issued(0, 0.0, 300_000);
-    assert!((5..=12).contains(&few), "{few} permits in 300 s");
+    let issued = permits_issued(0, 0.0, 300_000);
+    assert!((5..=12).contains(&issued), "{issued} permits in 300 s");
 }
 
 #[test]
 fn denied_daemons_get_spaced_retry_times_and_keep_them() {
     let mut issuer = Issuer::default();
     let delays: Vec<Millis> =
-        (1..=5).map(|from| ask(&mut issuer, 10_000, 0, 2.0, from, 0).retry_ms).collect();
+        (1..=5).map(|from| issue(&mut issuer, 10_000, 0, 2.0, from, 0).retry_ms).collect();
     assert!(delays.windows(2).all(|pair| pair[1] >= pair[0] + 500), "{delays:?}");
-    assert_eq!(ask(&mut issuer, 10_000, 0, 2.0, 3, 0).retry_ms, delays[2]);
+    assert_eq!(issue(&mut issuer, 10_000, 0, 2.0, 3, 0).retry_ms, delays[2]);
 }
 
 #[test]
@@ -78,8 +79,8 @@
     let mut issuer = Issuer::default();
     let (mut urgent, mut others) = (0, 0);
     for now in (10_000..70_000).step_by(20) {
-        others += ask(&mut issuer, now, 0, 4.0, 2, 3).permits;
-        urgent += ask(&mut issuer, now + 10, 0, 4.0, 1, 0).permits;
+        others += issue(&mut issuer, now, 0, 4.0, 2, 3).permits;
+        urgent += issue(&mut issuer, now + 10, 0, 4.0, 1, 0).permits;
     }
     assert!(urgent >= 5 * others, "{urgent} urgent, {others} others");
     assert!(others >= 10, "{others} others");
--- a/crates/core/tests/limit_tracker.rs
+++ b/crates/core/tests/limit_tracker.rs
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn a_limit_applies_to_one_server_start() {
+fn a_limit_applies_to_one_server_instance() {
     let later = ServerInstance { started_ms: 8, ..server(1) };
     assert_eq!(tracker().limit(&later), None);
 }
 
 #[test]
-fn a_limit_that_flips_with_each_answer_is_kept_at_its_lower_value() {
+fn a_limit_that_flips_with_each_response_is_kept_at_its_lower_value() {
     let mut tracker = tracker();
     let mut unlimited_ms = 0;
     for round in 1..100_u64 {
--- a/crates/core/tests/list_changes.rs
+++ b/crates/core/tests/list_changes.rs
@@ -62,7 +62,7 @@
     revision: u64,
     entries: BTreeMap<usize, (Millis, bool)>,
     /// The last start of each server.
-    starts: [Millis; NAMES],
+    started_ms: [Millis; NAMES],
     /// For each change the server's number, and the start if it was removed.
     events: Vec<(usize, Option<Millis>)>,
     lists: Vec<ServerList>,
@@ -77,7 +77,7 @@
             now: 10_000,
             revision: 0,
             entries: BTreeMap::new(),
-            starts: [1; NAMES],
+            started_ms: [1; NAMES],
             events: Vec::new(),
             lists: vec![ServerList::default(); DAEMONS],
             read_to: [0; WATCHERS],
@@ -96,15 +96,15 @@
             None => drop(self.entries.remove(&n)),
         }
         self.revision += 1;
-        self.events.push((n, before.filter(|_| entry.is_none()).map(|(start, _)| start)));
+        self.events.push((n, before.filter(|_| entry.is_none()).map(|(started_ms, _)| started_ms)));
     }
 
     fn run(&mut self, step: Step) {
         match step {
-            Step::Put(n, draining) => self.change(n, Some((self.starts[n], draining))),
+            Step::Put(n, draining) => self.change(n, Some((self.started_ms[n], draining))),
             Step::Restart(n) => {
-                self.starts[n] += 1;
-                self.change(n, Some((self.starts[n], false)));
+                self.started_ms[n] += 1;
+                self.change(n, Some((self.started_ms[n], false)));
             }
             Step::Remove(n) => self.change(n, None),
             Step::Watch(n) => self.watch(n),
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -34,12 +34,12 @@
     }
 }
 
-fn receive_heartbeat(members: &mut Members, n: usize, start: u64) {
+fn receive_heartbeat(members: &mut Members, n: usize, incarnation: u64) {
     let Host { name, hall, address, .. } = host(n);
     let heartbeat = Heartbeat {
         name,
         hall,
-        incarnation: Incarnation(start),
+        incarnation: Incarnation(incarnation),
         address,
         revision: 1,
         servers_version: Default::default(),
@@ -88,15 +88,15 @@
 #[test]
 fn in_a_small_fleet_every_peer_becomes_a_heartbeat_target() {
     let members = fleet(0, 8);
-    let asked: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
-    assert_eq!(asked.len(), 7);
+    let contacted: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
+    assert_eq!(contacted.len(), 7);
 }
 
 #[test]
 fn in_a_large_fleet_the_heartbeat_targets_are_fixed() {
     let members = fleet(0, 87);
-    let asked: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
-    assert_eq!(asked.len(), FANOUT);
+    let contacted: HashSet<Name> = (0..100).flat_map(|seed| targets(&members, seed)).collect();
+    assert_eq!(contacted.len(), FANOUT);
 }
 
 #[test]
@@ -104,9 +104,9 @@
     let mut members = fleet(0, 87);
     let suspected = targets(&members, 0).into_iter().next().expect("there are neighbours");
     fail(&mut members, &suspected);
-    let asked = targets(&members, 1);
-    assert_eq!(asked.len(), FANOUT + 1);
-    assert!(asked.contains(&suspected));
+    let contacted = targets(&members, 1);
+    assert_eq!(contacted.len(), FANOUT + 1);
+    assert!(contacted.contains(&suspected));
 }
 
 #[test]
--- a/crates/core/tests/owner_prefetch.rs
+++ b/crates/core/tests/owner_prefetch.rs
@@ -15,14 +15,14 @@
 const DAEMONS: usize = 240;
 const BUDGETS: usize = 40;
 const REQUESTS_PER_S: u64 = 700;
-const STORE_AWAY_AT_MS: Millis = 6_000;
-const ENDS_AT_MS: Millis = 14_000;
+const STORE_UNAVAILABLE_AT_MS: Millis = 6_000;
+const END_MS: Millis = 14_000;
 
 /// Duration of a request, for which its tokens are reserved.
-const RUNS_MS: Millis = 2_000;
+const REQUEST_DURATION_MS: Millis = 2_000;
 
 /// Fraction of the reserved tokens that a request costs.
-const COST: f64 = 0.9;
+const COST_FRACTION: f64 = 0.9;
 
 /// Tokens of all budgets together; at most half of what is left is held.
 const TOKENS: Tokens = 130_000_000;
@@ -105,22 +105,23 @@
     }
 
     /// Requests `need` and a prefetch from the owner of a budget.
-    fn ask(&mut self, daemon: usize, n: usize, need: Tokens, now: Millis) {
+    fn request_tokens(&mut self, daemon: usize, n: usize, need: Tokens, now: Millis) {
         let owner = Fleet::owner(n);
         if daemon == owner {
-            if now < STORE_AWAY_AT_MS {
+            if now < STORE_UNAVAILABLE_AT_MS {
                 self.draw(n, need, now);
             }
             return;
         }
         self.token_requests += 1;
         let terms = self.terms(daemon, n);
-        let start = Some(self.holders[owner].incarnation());
-        let request = self.holders[daemon].token_request(&budget(n), start, need, &terms, now);
+        let incarnation = Some(self.holders[owner].incarnation());
+        let request =
+            self.holders[daemon].token_request(&budget(n), incarnation, need, &terms, now);
         self.holders[owner].record_given_back(&request, now);
         let mut allotted = self.holders[owner].allot(&request, now);
         if let Err(short) = allotted
-            && now < STORE_AWAY_AT_MS
+            && now < STORE_UNAVAILABLE_AT_MS
         {
             self.draw(n, short.missing, now);
             allotted = self.holders[owner].allot(&request, now);
@@ -133,11 +134,11 @@
     fn request(&mut self, daemon: usize, n: usize, tokens: Tokens, now: Millis) -> bool {
         let mut reserved = self.holders[daemon].reserve(&budget(n), tokens, now);
         if let Err(short) = reserved {
-            self.ask(daemon, n, short.missing, now);
+            self.request_tokens(daemon, n, short.missing, now);
             reserved = self.holders[daemon].reserve(&budget(n), tokens, now);
         }
         let is_served = reserved.is_ok();
-        self.open.extend(reserved.ok().map(|open| (now + RUNS_MS, daemon, open)));
+        self.open.extend(reserved.ok().map(|open| (now + REQUEST_DURATION_MS, daemon, open)));
         is_served
     }
 
@@ -147,7 +148,7 @@
         self.open = open;
         let ended: Vec<(Millis, usize, Reservation)> = ended;
         for (_, daemon, reservation) in ended {
-            let used = (reservation.tokens() as f64 * COST) as Tokens;
+            let used = (reservation.tokens() as f64 * COST_FRACTION) as Tokens;
             self.holders[daemon].settle(reservation, used);
         }
     }
@@ -159,12 +160,16 @@
             for n in 0..BUDGETS {
                 let terms = self.terms(daemon, n);
                 let owner = Fleet::owner(n);
-                let start = self.holders[owner].incarnation();
+                let incarnation = self.holders[owner].incarnation();
                 let gives_back = daemon != owner
-                    && self.holders[daemon].return_surplus_to_owner(&budget(n), start, &terms, now)
-                        > 0;
+                    && self.holders[daemon].return_surplus_to_owner(
+                        &budget(n),
+                        incarnation,
+                        &terms,
+                        now,
+                    ) > 0;
                 if gives_back || self.holders[daemon].is_low(&budget(n), &terms, now) {
-                    self.ask(daemon, n, 0, now);
+                    self.request_tokens(daemon, n, 0, now);
                 }
             }
         }
@@ -176,12 +181,12 @@
     }
 }
 
-/// Results of a run; `asked` and `refused` count the requests during the outage.
+/// Results of a run.
 #[derive(Debug, Default)]
 #[allow(dead_code, reason = "printed by the assertions")]
 struct Outcome {
-    asked: u64,
-    refused: u64,
+    requests_in_outage: u64,
+    refused_in_outage: u64,
     free: Tokens,
     token_requests: u64,
     requests: u64,
@@ -192,7 +197,7 @@
     let mut random = Random(7);
     let mut outcome = Outcome::default();
     let sum: f64 = (0..BUDGETS).map(weight).sum();
-    for step in 0..ENDS_AT_MS * REQUESTS_PER_S / 1_000 {
+    for step in 0..END_MS * REQUESTS_PER_S / 1_000 {
         let now = step * 1_000 / REQUESTS_PER_S;
         fleet.settle(now);
         if step % REQUESTS_PER_S == 0 {
@@ -210,9 +215,9 @@
             if size < 0.7 { 1_500 } else { 4_000 + (36_000.0 * size * size) as Tokens / 3 };
         let is_served = fleet.request(daemon, n.unwrap_or(0), tokens, now);
         outcome.requests += 1;
-        if now >= STORE_AWAY_AT_MS {
-            outcome.asked += 1;
-            outcome.refused += u64::from(!is_served);
+        if now >= STORE_UNAVAILABLE_AT_MS {
+            outcome.requests_in_outage += 1;
+            outcome.refused_in_outage += u64::from(!is_served);
         }
     }
     Outcome { free: fleet.free(), token_requests: fleet.token_requests, ..outcome }
@@ -221,13 +226,13 @@
 #[test]
 fn owner_prefetch_refuses_less_than_a_twentieth_in_an_outage() {
     let outcome = simulate(true);
-    assert!(outcome.refused * 20 < outcome.asked, "{outcome:?}");
+    assert!(outcome.refused_in_outage * 20 < outcome.requests_in_outage, "{outcome:?}");
 }
 
 #[test]
 fn prefetch_for_itself_refuses_more_than_a_fifth_in_an_outage() {
     let outcome = simulate(false);
-    assert!(outcome.refused * 5 > outcome.asked, "{outcome:?}");
+    assert!(outcome.refused_in_outage * 5 > outcome.requests_in_outage, "{outcome:?}");
 }
 
 #[test]
@@ -240,12 +245,12 @@
 fn leftover_tokens_return_to_the_owner_when_idle() {
     let mut fleet = Fleet::new(true);
     assert!(fleet.request(0, 0, 10_000, 0));
-    fleet.settle(RUNS_MS);
+    fleet.settle(REQUEST_DURATION_MS);
     let leftover = fleet.holders[0].free(&budget(0));
     assert!(leftover > 0);
-    fleet.maintain(RUNS_MS + 100);
+    fleet.maintain(REQUEST_DURATION_MS + 100);
     assert_eq!(fleet.holders[0].free(&budget(0)), leftover, "the next request may take it");
-    fleet.maintain(RUNS_MS + 3_000);
+    fleet.maintain(REQUEST_DURATION_MS + 3_000);
     assert_eq!(fleet.holders[0].free(&budget(0)), 0);
 }
 
--- a/crates/core/tests/owner_ration.rs
+++ b/crates/core/tests/owner_ration.rs
@@ -44,8 +44,8 @@
     owner.record_opened(&budget(), plenty);
     for n in 0..1_000 {
         let (tokens, _) = REQUESTS[n as usize % REQUESTS.len()];
-        let ask = ask(n, tokens, None, n * INTERVAL_MS);
-        owner.allot(&ask, n * INTERVAL_MS).expect("there is plenty");
+        let request = token_request(n, tokens, None, n * INTERVAL_MS);
+        owner.allot(&request, n * INTERVAL_MS).expect("there is plenty");
     }
     let spent = owner.free(&budget()) - LEFT;
     owner.transfer(&budget(), Incarnation(9), 0, spent);
@@ -55,8 +55,13 @@
     owner
 }
 
-fn ask(asker: u64, tokens: Tokens, demand: Option<RequestDemand>, now: Millis) -> TokenRequest {
-    let mut holder = Holder::new(Incarnation(100 + asker));
+fn token_request(
+    requester: u64,
+    tokens: Tokens,
+    demand: Option<RequestDemand>,
+    now: Millis,
+) -> TokenRequest {
+    let mut holder = Holder::new(Incarnation(100 + requester));
     TokenRequest { demand, ..holder.token_request(&budget(), Some(OWNER), tokens, &terms(), now) }
 }
 
@@ -69,10 +74,10 @@
         let now = 10_000 + at;
         let (tokens, rank) = REQUESTS[n % REQUESTS.len()];
         let demand = RequestDemand { tokens, rank, ration_s: RATION_S };
-        let ask = ask(10_000 + n as u64, tokens, Some(demand), now);
+        let request = token_request(10_000 + n as u64, tokens, Some(demand), now);
         let ration = owner.ration_for(&budget(), &demand, is_store_unavailable, now);
         let is_admitted = !is_rationed || tokens <= ration;
-        let is_served = is_admitted && owner.allot(&ask, now).is_ok();
+        let is_served = is_admitted && owner.allot(&request, now).is_ok();
         if at >= 6_000 {
             requested[rank as usize] += 1.0;
             granted[rank as usize] += f64::from(u8::from(is_served));
--- a/crates/core/tests/owner_reserve.rs
+++ b/crates/core/tests/owner_reserve.rs
@@ -15,7 +15,7 @@
 
 const TOTAL: Tokens = 100_000;
 const OWNER: Incarnation = Incarnation(1);
-const ASKER: Incarnation = Incarnation(2);
+const REQUESTER: Incarnation = Incarnation(2);
 
 /// Time after the first spending when its rate counts as known, with a margin.
 const RATE_KNOWN_MS: Millis = 11_000;
@@ -35,12 +35,12 @@
     owner
 }
 
-fn ask(need: Tokens, want: Tokens) -> TokenRequest {
+fn token_request(need: Tokens, want: Tokens) -> TokenRequest {
     let budget = budget();
     let (owner, rate) = (Some(OWNER), 10 * need);
     TokenRequest {
         budget,
-        holder: ASKER,
+        holder: REQUESTER,
         owner,
         received: 0,
         given_back: 0,
@@ -73,7 +73,8 @@
 fn the_reserve_serves_needs_but_no_prefetching() {
     let mut owner = owner_with(RESERVE);
     owner.return_surplus_to_store(&budget(), &terms(), 0);
-    let allotted = owner.allot(&ask(100, RESERVE), 0).expect("the owner has enough free tokens");
+    let allotted =
+        owner.allot(&token_request(100, RESERVE), 0).expect("the owner has enough free tokens");
     assert_eq!(allotted.cumulative, 100);
 }
 
--- a/crates/core/tests/ration.rs
+++ b/crates/core/tests/ration.rs
@@ -14,17 +14,17 @@
 const INTERVAL_MS: Millis = 100;
 
 /// Cost of each request.
-const SIZE: Tokens = 1_000;
+const COST: Tokens = 1_000;
 
 /// Returns a holder that has spent for 20 s and has no outlook, and the current time.
 fn spending_holder() -> (Holder, Millis) {
     let mut holder = Holder::new(Incarnation(1));
     let end = 20_000;
     holder.record_granted(&budget(), Tokens::MAX / 4);
-    holder.record_opened(&budget(), SIZE * end / INTERVAL_MS);
+    holder.record_opened(&budget(), COST * end / INTERVAL_MS);
     for now in (0..end).step_by(INTERVAL_MS as usize) {
-        let reservation = holder.reserve(&budget(), SIZE, now).expect("it is open");
-        holder.settle(reservation, SIZE);
+        let reservation = holder.reserve(&budget(), COST, now).expect("it is open");
+        holder.settle(reservation, COST);
     }
     (holder, end)
 }
@@ -74,7 +74,7 @@
     // In the next ten seconds other daemons use nine times as much as this one did.
     let mut left = 1_000_000;
     for second in 1..=10 {
-        left -= 9 * SIZE * 1_000 / INTERVAL_MS;
+        left -= 9 * COST * 1_000 / INTERVAL_MS;
         holder.set_outlook(&budget(), Outlook { share: 0, left }, end + second * 1_000);
     }
     // The same outlook, received as the first one.
@@ -117,8 +117,8 @@
     holder.record_granted(&other, Tokens::MAX / 4);
     holder.record_opened(&other, Tokens::MAX / 4);
     for _ in 0..200 {
-        let reservation = holder.reserve(&other, 3 * SIZE, end).expect("it is open");
-        holder.settle(reservation, SIZE);
+        let reservation = holder.reserve(&other, 3 * COST, end).expect("it is open");
+        holder.settle(reservation, COST);
     }
     // The mean request has doubled, so half as many callers are expected.
     let after = holder.ration(&budget(), RATION_S, 0, end);
--- a/crates/core/tests/server_eligibility.rs
+++ b/crates/core/tests/server_eligibility.rs
@@ -117,13 +117,13 @@
 #[test]
 fn a_reopened_hall_is_kept_with_its_time() {
     let mut list = HallList::default();
-    let whole = |at, halls: &[&str]| HallChanges {
+    let full_list = |at, halls: &[&str]| HallChanges {
         at,
         whole: true,
         evacuated: names(halls),
         ..HallChanges::default()
     };
-    assert!(!list.apply(0, whole(3, &[])));
+    assert!(!list.apply(0, full_list(3, &[])));
     assert_eq!(list.evacuated().at, 3, "an empty list counts as a list");
     let evacuated = HallChanges { at: 5, evacuated: names(&["hall-1"]), ..HallChanges::default() };
     assert!(list.apply(10, evacuated));
@@ -152,7 +152,7 @@
     ServerChanges { at, put: vec![server], ..ServerChanges::default() }
 }
 
-fn starts(list: &ServerList) -> Vec<Millis> {
+fn start_times(list: &ServerList) -> Vec<Millis> {
     list.servers().map(|server| server.started_ms).collect()
 }
 
@@ -167,12 +167,12 @@
         ..ServerChanges::default()
     };
     assert!(!list.apply(2, gone(1_000)));
-    assert_eq!(starts(&list), [2_000]);
+    assert_eq!(start_times(&list), [2_000]);
     let from_peer = SharedServer { server: listed(1_000), dropped_in: None, cold_in: 0 };
     list.adopt(3, ListVersion { at: 9, drops: 0 }, vec![from_peer]);
-    assert_eq!(starts(&list), [2_000]);
+    assert_eq!(start_times(&list), [2_000]);
     assert!(list.apply(4, gone(2_000)));
-    assert_eq!(starts(&list), [] as [Millis; 0]);
+    assert_eq!(start_times(&list), [] as [Millis; 0]);
 }
 
 #[test]
@@ -209,7 +209,7 @@
     assert!(list.apply(9_600, put(6, ListedServer { draining: true, ..cold(0) })));
 }
 
-fn table_with_start(started_ms: Millis) -> Table {
+fn table_with_start_time(started_ms: Millis) -> Table {
     let mut table = table();
     table.servers[0].listed.started_ms = started_ms;
     table
@@ -223,7 +223,7 @@
 fn another_instance_of_the_same_name_inherits_no_state() {
     let first = Name::from("s0");
     let mut router = Router::default();
-    router.adopt(&table_with_start(1_000));
+    router.adopt(&table_with_start_time(1_000));
     router.record_sent(&first, 1_000, 5_000);
     router.record_sent(&first, 1_000, 5_000);
     router.record_leaving_refusal(0, &first, 1_000);
@@ -233,7 +233,7 @@
         LoadReport { running: 7, waiting: 2, leaving: true, started_ms: 0 },
     );
     assert!(router.servers()[0].is_leaving(1));
-    router.adopt(&table_with_start(2_000));
+    router.adopt(&table_with_start_time(2_000));
     // A late answer to a request to the earlier instance.
     router.record_leaving_refusal(0, &first, 1_000);
     assert!(!router.servers()[0].is_leaving(1));
@@ -255,7 +255,7 @@
 #[test]
 fn reports_from_peers_about_an_earlier_instance_do_not_count() {
     let mut router = Router::default();
-    router.adopt(&table_with_start(2_000));
+    router.adopt(&table_with_start_time(2_000));
     let report = |number, started_ms| UnreadReport {
         from: Incarnation(1),
         number,
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -27,12 +27,12 @@
     SharedServer { server: server(name, draining), dropped_in, cold_in: 0 }
 }
 
-fn whole(at: u64, names: &[&str]) -> ServerChanges {
+fn full_list(at: u64, names: &[&str]) -> ServerChanges {
     let put = names.iter().map(|name| server(name, false)).collect();
     ServerChanges { at, whole: true, put, ..ServerChanges::default() }
 }
 
-fn gone(at: u64, name: &str) -> ServerChanges {
+fn removal(at: u64, name: &str) -> ServerChanges {
     ServerChanges {
         at,
         gone: vec![RemovedServer { name: Name::from(name), started_ms: 0 }],
@@ -47,25 +47,25 @@
 #[test]
 fn a_full_list_removes_missing_entries() {
     let mut list = ServerList::default();
-    assert!(list.apply(0, whole(5, &["a", "b"])));
-    assert!(list.apply(1, whole(6, &["b"])));
+    assert!(list.apply(0, full_list(5, &["a", "b"])));
+    assert!(list.apply(1, full_list(6, &["b"])));
     assert_eq!(names(&list), ["b"]);
 }
 
 #[test]
 fn an_identical_entry_is_no_change() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a"]));
-    assert!(!list.apply(1, whole(9, &["a"])));
+    list.apply(0, full_list(5, &["a"]));
+    assert!(!list.apply(1, full_list(9, &["a"])));
     assert_eq!(list.version(), version(5, 0));
 }
 
 #[test]
 fn an_entry_missing_after_an_outage_is_kept_for_the_grace_period() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
+    list.apply(0, full_list(5, &["a", "b"]));
     list.start_grace_period(10_000);
-    list.apply(10_000, whole(9, &["b"]));
+    list.apply(10_000, full_list(9, &["b"]));
     assert_eq!(names(&list), ["a", "b"]);
     assert!(!list.drop_expired(10_000 + GRACE_PERIOD_MS - 1));
     assert!(list.drop_expired(10_000 + GRACE_PERIOD_MS));
@@ -75,9 +75,9 @@
 #[test]
 fn a_drop_after_the_grace_period_raises_the_version() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
+    list.apply(0, full_list(5, &["a", "b"]));
     list.start_grace_period(10_000);
-    list.apply(10_000, whole(9, &["b"]));
+    list.apply(10_000, full_list(9, &["b"]));
     assert_eq!(list.version(), version(5, 0));
     assert_eq!(list.next_drop(10_500), Some(GRACE_PERIOD_MS - 500));
     list.drop_expired(10_000 + GRACE_PERIOD_MS);
@@ -87,10 +87,10 @@
 #[test]
 fn an_entry_registered_again_within_the_grace_period_is_kept() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a"]));
+    list.apply(0, full_list(5, &["a"]));
     list.start_grace_period(10_000);
-    list.apply(10_000, gone(9, "a"));
-    list.apply(10_500, ServerChanges { at: 10, put: vec![server("a", false)], ..gone(10, "x") });
+    list.apply(10_000, removal(9, "a"));
+    list.apply(10_500, ServerChanges { at: 10, put: vec![server("a", false)], ..removal(10, "x") });
     assert!(!list.drop_expired(10_000 + GRACE_PERIOD_MS));
     assert_eq!(names(&list), ["a"]);
 }
@@ -98,9 +98,9 @@
 #[test]
 fn an_unreadable_entry_removes_its_server_only() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
+    list.apply(0, full_list(5, &["a", "b"]));
     let broken = Unreadable { name: Some(Name::from("a")), problem: "no address".to_owned() };
-    list.apply(1, ServerChanges { unreadable: vec![broken], ..whole(6, &["b"]) });
+    list.apply(1, ServerChanges { unreadable: vec![broken], ..full_list(6, &["b"]) });
     assert_eq!(names(&list), ["b"]);
     // No grace period applies: the platform has the entry, but it describes no usable server.
     list.start_grace_period(1);
@@ -112,15 +112,15 @@
 #[test]
 fn without_an_outage_a_removal_takes_effect_at_once() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a"]));
-    assert!(list.apply(1, gone(6, "a")));
+    list.apply(0, full_list(5, &["a"]));
+    assert!(list.apply(1, removal(6, "a")));
     assert!(names(&list).is_empty());
 }
 
 #[test]
 fn a_peers_list_is_adopted_only_if_it_is_newer() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a"]));
+    list.apply(0, full_list(5, &["a"]));
     assert!(!list.adopt(1, version(5, 0), vec![shared("b", false, None)]));
     assert!(list.adopt(1, version(6, 0), vec![shared("a", true, None)]));
     assert!(list.servers().all(|server| server.draining));
@@ -129,8 +129,8 @@
 #[test]
 fn a_removed_entry_is_not_restored_by_a_peer_that_keeps_it_for_its_grace_period() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
-    list.apply(1, gone(6, "a"));
+    list.apply(0, full_list(5, &["a", "b"]));
+    list.apply(1, removal(6, "a"));
     // The peer was cut off from the platform and still has the entry in its grace period.
     let of_peer = vec![shared("a", false, Some(1_500)), shared("b", false, None)];
     assert!(list.adopt(2, version(7, 0), of_peer));
@@ -140,7 +140,7 @@
 #[test]
 fn the_grace_period_of_an_adopted_entry_is_adopted_too() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
+    list.apply(0, full_list(5, &["a", "b"]));
     let of_peer = vec![shared("a", false, Some(1_500)), shared("b", false, None)];
     assert!(list.adopt(100, version(7, 0), of_peer));
     assert_eq!(names(&list), ["a", "b"]);
@@ -151,11 +151,11 @@
 #[test]
 fn a_drop_reaches_peers_at_the_same_version_of_the_platform() {
     let mut list = ServerList::default();
-    list.apply(0, whole(5, &["a", "b"]));
+    list.apply(0, full_list(5, &["a", "b"]));
     list.start_grace_period(10_000);
-    list.apply(10_000, ServerChanges { put: vec![server("c", false)], ..gone(9, "a") });
+    list.apply(10_000, ServerChanges { put: vec![server("c", false)], ..removal(9, "a") });
     let mut peer = ServerList::default();
-    peer.apply(0, whole(5, &["a", "b"]));
+    peer.apply(0, full_list(5, &["a", "b"]));
     assert!(peer.adopt(10_100, list.version(), list.shared(10_100)));
     assert!(list.drop_expired(10_000 + GRACE_PERIOD_MS));
     assert!(list.version() > peer.version());
--- a/crates/core/tests/store_read_policy.rs
+++ b/crates/core/tests/store_read_policy.rs
@@ -15,7 +15,7 @@
 const OUTAGE_MS: Millis = 9_000;
 
 /// Consecutive failed probes after which the store counts as unavailable.
-const STORE_LOST_FAILURES: u32 = 2;
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
 /// Number of calls if every daemon probes the store every 200 ms.
 const CALLS_WITHOUT_POLICY: u64 = 13_275;
@@ -37,7 +37,7 @@
     let mut at = 0;
     let mut probes = 0;
     for spread in spreads.iter().cycle() {
-        at += policy.probe_interval(STORE_LOST_FAILURES, *spread);
+        at += policy.probe_interval(UNAVAILABLE_AFTER_FAILURES, *spread);
         if at > OUTAGE_MS {
             break;
         }
@@ -55,8 +55,8 @@
 
 #[test]
 fn a_reader_probes_at_least_every_200_ms() {
-    assert!(policy(0).probe_interval(STORE_LOST_FAILURES, 1.0) <= 200);
-    assert!(policy(READERS - 1).probe_interval(STORE_LOST_FAILURES, 1.0) <= 200);
+    assert!(policy(0).probe_interval(UNAVAILABLE_AFTER_FAILURES, 1.0) <= 200);
+    assert!(policy(READERS - 1).probe_interval(UNAVAILABLE_AFTER_FAILURES, 1.0) <= 200);
 }
 
 /// Guards against a stale table: one of 87 hosts, which could reach the store all the time,
@@ -65,7 +65,7 @@
 /// within 3 s.
 #[test]
 fn a_daemon_that_receives_nothing_from_peers_probes_at_least_every_1500_ms() {
-    assert!(policy(HALL_SIZE).probe_interval(STORE_LOST_FAILURES, 1.0) <= 1_500);
+    assert!(policy(HALL_SIZE).probe_interval(UNAVAILABLE_AFTER_FAILURES, 1.0) <= 1_500);
 }
 
 #[test]
@@ -76,11 +76,11 @@
 #[test]
 fn before_the_list_is_received_the_seed_peers_probe_the_store() {
     let unlisted = StoreReadPolicy { fleet: None, ..policy(0) };
-    assert!(unlisted.probe_interval(STORE_LOST_FAILURES, 0.5) >= 1_000);
+    assert!(unlisted.probe_interval(UNAVAILABLE_AFTER_FAILURES, 0.5) >= 1_000);
     let seed = StoreReadPolicy { is_seed: true, ..unlisted };
-    assert!(seed.probe_interval(STORE_LOST_FAILURES, 0.5) <= 200);
+    assert!(seed.probe_interval(UNAVAILABLE_AFTER_FAILURES, 0.5) <= 200);
     let alone = StoreReadPolicy { has_seeds: false, ..unlisted };
-    assert!(alone.probe_interval(STORE_LOST_FAILURES, 0.5) <= 200);
+    assert!(alone.probe_interval(UNAVAILABLE_AFTER_FAILURES, 0.5) <= 200);
 }
 
 #[parameterized(
@@ -99,8 +99,8 @@
 #[test]
 fn non_readers_replace_failed_readers_one_after_the_other() {
     assert_eq!(policy(0).stale_after(), None);
-    let limits: Vec<_> = (READERS..READERS + 5).map(|rank| policy(rank).stale_after()).collect();
-    assert!(limits.windows(2).all(|pair| pair[0] < pair[1]), "{limits:?}");
+    let ages: Vec<_> = (READERS..READERS + 5).map(|rank| policy(rank).stale_after()).collect();
+    assert!(ages.windows(2).all(|pair| pair[0] < pair[1]), "{ages:?}");
 }
 
 /// Time within which a change is to be in force at the users' large fleets, in milliseconds.
--- a/crates/core/tests/unavailable_servers.rs
+++ b/crates/core/tests/unavailable_servers.rs
@@ -54,12 +54,12 @@
     table
 }
 
-fn start(n: usize) -> ServerInstance {
+fn instance(n: usize) -> ServerInstance {
     ServerInstance { name: Name::from(format!("s{n}").as_str()), started_ms: 0 }
 }
 
 fn apply(router: &mut Router, n: usize, condition: Condition) {
-    let server = start(n);
+    let server = instance(n);
     match condition {
         Condition::Available | Condition::Cold => {}
         Condition::Leaving => drop(router.record_leaving(NOW, &server)),
@@ -94,7 +94,7 @@
         }
         // Adopting the same table again keeps all conditions.
         router.adopt(&table);
-        let tried: Vec<Name> = tried.iter().map(|n| start(*n).name).collect();
+        let tried: Vec<Name> = tried.iter().map(|n| instance(*n).name).collect();
         let regions: Vec<Name> =
             homes.iter().map(|n| Name::from(format!("region-{n}").as_str())).collect();
         let request = RoutingRequest {
@@ -104,7 +104,7 @@
         let may_serve = |n: usize| {
             let hall = n % HALLS;
             let is_home = homes.is_empty() || homes.contains(&hall);
-            !evacuated[hall] && is_home && !tried.contains(&start(n).name)
+            !evacuated[hall] && is_home && !tried.contains(&instance(n).name)
         };
         match router.choose(NOW, &request) {
             Ok(choice) => {
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -87,6 +87,6 @@
     after_the_longest_wait = { 3_500, 3_500 },
     after_a_suspension = { 9_000, 1_000 },
 )]
-fn an_answer_read_after_a_suspension_is_as_old_as_its_request(came_at: u64, expected: u64) {
-    assert_eq!(answer_time(1_000, came_at, 2_500), expected);
+fn an_answer_read_after_a_suspension_is_as_old_as_its_request(received_at: u64, expected: u64) {
+    assert_eq!(answer_time(1_000, received_at, 2_500), expected);
 }
