--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -14,7 +14,7 @@
 ///
 /// Exit codes: 0 success; 1 refused or failed; 2 invalid arguments; 3 a row
 /// has changed since it was read; 4 unknown whether the change was made, so
-/// send it again; 5 the daemon can't be reached.
+/// send it again with the same --change; 5 the daemon can't be reached.
 #[derive(Debug, Parser)]
 #[command(name = "bankcove", version)]
 pub struct Args {
@@ -34,7 +34,7 @@
     #[arg(long, global = true, env = "BANKCOVE_SERVER", value_name = "ADDRESS")]
     pub server: Option<String>,
 
-    /// The operators' token.
+    /// Operator token.
     #[arg(long, global = true, env = "BANKCOVE_TOKEN", hide_env_values = true)]
     pub token: Option<String>,
 
@@ -74,7 +74,7 @@
     /// Show and unblock requests that are blocked because they crashed their servers.
     #[command(subcommand)]
     Blocked(BlockedCommand),
-    /// Show which backend servers announce a limit, and how much the daemon may send them.
+    /// Show which backend servers announce a limit, and how many requests the daemon may send them.
     Limits,
     /// Show which backend servers get requests from the daemon, and why the others don't.
     Servers,
@@ -109,7 +109,7 @@
     Status,
     /// Print the full state of a daemon as JSON.
     Dump,
-    /// Send requests to a daemon at a steady rate and measure the answers.
+    /// Send requests to daemons at a constant rate and measure the answers.
     Load(LoadArgs),
     /// Run stand-ins and three daemons in this process, as a demonstration.
     Demo {
@@ -122,7 +122,7 @@
     Standin(StandinCommand),
     /// Print a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Shell for which to print the script.
         shell: clap_complete::Shell,
     },
 }
@@ -140,17 +140,17 @@
         /// JSON file with the table.
         file: PathBuf,
     },
-    /// Replace the table by that of a file; rows that the file lacks are removed.
+    /// Replace the table with the one in a file; rows that are missing from the file are removed.
     Apply {
         /// JSON file with the table.
         file: PathBuf,
-        /// Identifier of the change; repeats with the same one count once.
+        /// Identifier of the change; a change sent again with the same identifier is applied only once.
         #[arg(long)]
         change: Option<String>,
     },
     /// Print the table in force at the daemon.
     Get {
-        /// Only this sheet: halls, workspaces, budgets, servers or routes.
+        /// Print only this sheet: halls, workspaces, budgets, servers, routes or services.
         sheet: Option<String>,
     },
     /// Print the most recent changes: time, user and rows.
@@ -164,17 +164,17 @@
     ///
     /// Values are JSON; text that is not valid JSON is used as a string.
     Set {
-        /// The sheet: halls, workspaces, budgets, servers or routes.
+        /// The sheet: halls, workspaces, budgets, servers, routes or services.
         sheet: String,
         /// The row's name.
         name: String,
-        /// Fields, for example weight=2 or state=draining.
+        /// Fields to set, for example weight=2 or state=draining.
         #[arg(required = true, value_name = "FIELD=VALUE")]
         fields: Vec<String>,
-        /// Version on which the edit is based; the one in force if omitted.
+        /// Version of the row on which the edit is based [default: the version in force].
         #[arg(long)]
         from_version: Option<u64>,
-        /// Identifier of the change; repeats with the same one count once.
+        /// Identifier of the change; a change sent again with the same identifier is applied only once.
         #[arg(long)]
         change: Option<String>,
     },
@@ -184,7 +184,7 @@
         sheet: String,
         /// The row's name.
         name: String,
-        /// Identifier of the change; repeats with the same one count once.
+        /// Identifier of the change; a change sent again with the same identifier is applied only once.
         #[arg(long)]
         change: Option<String>,
     },
@@ -204,7 +204,7 @@
         name: String,
         /// Tokens to add.
         tokens: u64,
-        /// Identifier of the top-up; repeats with the same one count once.
+        /// Identifier of the top-up; a top-up sent again with the same identifier counts only once.
         #[arg(long)]
         change: Option<String>,
     },
@@ -225,7 +225,7 @@
 /// Command for keys.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Create a key: the caller gets the key itself, the table its hash.
+    /// Create a key and print it with its hash: the key is for the caller, the hash for the table.
     New,
     /// Print the hash of a key read from standard input.
     Hash,
@@ -281,7 +281,7 @@
     /// Models to request; each request uses one at random.
     #[arg(long = "model", required = true)]
     pub models: Vec<String>,
-    /// Request rate, per second.
+    /// Number of requests to send per second.
     #[arg(long, default_value_t = 20.0)]
     pub rate: f64,
     /// Duration of the load, in seconds.
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Dispatch of the subcommands, and the small ones among them.
+//! Dispatch of the subcommands, and implementation of the small ones.
 
 use clap::CommandFactory;
 use serde_json::{Value, json};
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,5 @@
-//! Connection settings. Flags take precedence over the environment, and that over a file.
+//! Connection settings. Flags take precedence over the environment, and the environment takes
+//! precedence over a file.
 
 use std::path::Path;
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -43,8 +43,10 @@
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum Error {
     /// No address or token is given by flags, environment or file.
-    #[error("no {what} is given")]
-    #[diagnostic(help("use --{what}, the environment's {variable}, or --config FILE"))]
+    #[error("no {what} is configured")]
+    #[diagnostic(help(
+        "set it with --{what}, the environment variable {variable}, or a file given with --config"
+    ))]
     NoConnection {
         /// Name of the missing setting.
         what: &'static str,
@@ -61,7 +63,7 @@
     },
     /// A file's content is not valid.
     #[error("{}: at '{place}': {problem}", path.display())]
-    #[diagnostic(help("correct the file there"))]
+    #[diagnostic(help("correct the file at this place"))]
     FileShape {
         /// The file.
         path: PathBuf,
@@ -88,7 +90,8 @@
     /// The daemon can't be reached.
     #[error("the daemon at {address} can't be reached")]
     #[diagnostic(help(
-        "check that the address is a daemon's operator port; a change may be sent again"
+        "check that the address is the operator port of a daemon; a change sent again with the \
+         same --change is applied only once"
     ))]
     Unreachable {
         /// Address of its operator port.
--- a/crates/cli/src/load/servers.rs
+++ b/crates/cli/src/load/servers.rs
@@ -1,4 +1,5 @@
-//! Requests that the stand-ins of backend servers received during a load, by their history.
+//! Requests that the stand-ins of backend servers received during a load, according to their
+//! histories.
 
 use serde_json::{Value, json};
 
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -124,7 +124,7 @@
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
-/// Returns the edit that turns the table in force into that of the file.
+/// Returns the edit that changes the table in force to the table in the file.
 async fn edit_to_match(client: &Client, file: &Path, id: String) -> Result<Edit> {
     let target = read_table(file)?;
     let current = client.table().await?;
@@ -150,7 +150,7 @@
 
 fn read_field(text: &str) -> Result<(String, Value)> {
     let Some((field, value)) = text.split_once('=') else {
-        return Err(Error::Usage(format!("'{text}' is not FIELD=VALUE")));
+        return Err(Error::Usage(format!("'{text}' is not of the form FIELD=VALUE")));
     };
     let value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
     Ok((field.to_owned(), value))
@@ -166,7 +166,7 @@
 }
 
 fn no_row(sheet: &str, name: &str) -> Error {
-    Error::Usage(format!("there is no row '{name}' in '{sheet}'"))
+    Error::Usage(format!("sheet '{sheet}' has no row '{name}'"))
 }
 
 fn print_plan(edit: &Edit, format: Format) {
@@ -197,7 +197,8 @@
 fn print_table(table: &Table, sheet: Option<&str>, format: Format) -> Result<()> {
     if let Some(sheet) = sheet {
         if !SHEETS.contains(&sheet) {
-            return Err(Error::Usage(format!("no sheet '{sheet}'; use one of {SHEETS:?}")));
+            let sheets = SHEETS.join(", ");
+            return Err(Error::Usage(format!("there is no sheet '{sheet}'; use one of: {sheets}")));
         }
         output::rows(&rows_of(table, sheet), format);
         return Ok(());
--- a/crates/core/tests/allotment.rs
+++ b/crates/core/tests/allotment.rs
@@ -131,7 +131,7 @@
                 }
             }
             Step::Repeat => {
-                // The last message is delivered once more, to the owner's current state.
+                // The owner receives the tokens given back by the last request a second time.
                 if let Some(request) = self.last_request.clone() {
                     self.holders[OWNER].record_given_back(&request, self.now);
                 }
--- a/crates/core/tests/closed_servers.rs
+++ b/crates/core/tests/closed_servers.rs
@@ -7,7 +7,7 @@
 use bankcove_core::{Millis, Name};
 use serde_json::json;
 
-/// Longer than the retention time of unlisted starts.
+/// A time, or the age of a fact, after the retention time of unlisted instances.
 const AFTER_RETENTION_MS: Millis = 3_600_000;
 
 fn instance(name: &str, started_ms: Millis) -> ServerInstance {
@@ -22,9 +22,9 @@
 fn a_leaving_instance_stays_leaving_and_a_later_instance_is_not_leaving() {
     let mut leaving = LeavingServers::default();
     assert!(leaving.add(1_000, &instance("a", 7), 0));
-    assert!(!leaving.add(2_000, &instance("a", 7), 0), "the start is already known");
+    assert!(!leaving.add(2_000, &instance("a", 7), 0), "the instance is already known");
     leaving.remove_expired(AFTER_RETENTION_MS, |_| true);
-    assert!(leaving.contains(&instance("a", 7)), "a listed start never expires");
+    assert!(leaving.contains(&instance("a", 7)), "a listed instance never expires");
     assert!(!leaving.contains(&instance("a", 8)));
 }
 
@@ -135,7 +135,7 @@
     router.record_load_report(3_000, &name, report(70));
     assert!(
         !router.is_current_and_not_leaving(3_000, &name, 0),
-        "a lagging list restores no leaving start"
+        "a lagging list does not make a leaving instance usable again"
     );
 }
 
--- a/crates/core/tests/crash_fleet/main.rs
+++ b/crates/core/tests/crash_fleet/main.rs
@@ -141,7 +141,8 @@
     assert!((blocked as f64) < MAX_BLOCKED_FRACTION * simulations as f64, "{blocked}");
 }
 
-/// All servers of a pool fail at the same time, several times, while the same few requests are
+/// Guards against blocking requests that only ran on servers with a common fault. Load pattern: all
+/// servers of a pool fail at the same time, several times, while the same few requests are
 /// running on all of them: none of the requests is the cause.
 #[test]
 fn servers_that_fail_together_block_no_common_request() {
--- a/crates/core/tests/crashes.rs
+++ b/crates/core/tests/crashes.rs
@@ -183,7 +183,7 @@
 #[test]
 fn crashes_in_quick_succession_are_separate_incidents() {
     let mut tracker = CrashTracker::default();
-    // A caller that retries at once, and servers that crash 60 ms after they begin to run it.
+    // The caller retries at once, and each server crashes 60 ms after it begins to run the request.
     for n in 0..3 {
         crash(&mut tracker, 1_000 + 70 * Millis::from(n), n, &[FATAL]);
     }
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -46,7 +46,8 @@
                     daemon.open.extend(reservation);
                     return;
                 }
-                // The newest reservation stays open, and the one before it is settled.
+                // The new reservation is dropped unsettled, so the holder keeps its tokens reserved.
+                // The newest one of those that had to draw is settled.
                 if let Some(reservation) = daemon.open.pop() {
                     self.spent += used.min(reservation.tokens());
                     daemon.holder.settle(reservation, used);
--- a/crates/core/tests/forwarded_draws.rs
+++ b/crates/core/tests/forwarded_draws.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Otherwise the ledger of a budget would grow by one grant with each restart of a daemon.
+/// Guards against a ledger that grows by one grant with each restart of a daemon.
 #[test]
 fn an_earlier_incarnation_leaves_the_ledger_after_a_draw_of_its_successor() {
     let mut world = World::new();
--- a/crates/core/tests/freshness_by_gossip.rs
+++ b/crates/core/tests/freshness_by_gossip.rs
@@ -1,11 +1,11 @@
 //! Age of a view that daemons only receive from each other.
 //!
 //! Guards against views that seem current although no daemon reads the store. One of 87 hosts,
-//! which could reach the store, answered by a table that had been replaced 4.6 s before. The
+//! which could reach the store, answered a request from a table that had been replaced 4.6 s before. The
 //! store was down for 5 s, then most hosts were cut off from it; from 5 to 10.8 s this host read
 //! neither the table nor the servers, since peers reported current views, though no daemon had
 //! read the store since 2.4 s. Ages were counted from the receipt of a heartbeat, so each hop
-//! made the view younger by the transit time of some 10 to 300 ms, and the youngest age won.
+//! reduced the age by the transit time of some 10 to 300 ms, and the smallest age was used.
 
 use bankcove_core::Millis;
 use bankcove_core::freshness::Freshness;
--- a/crates/core/tests/limit_issuer.rs
+++ b/crates/core/tests/limit_issuer.rs
@@ -26,7 +26,8 @@
     issuer.issue(now, &server(), limit, IssuerPosition { rank, since: 0 }, request)
 }
 
-/// Number of permits from an issuer that is asked each millisecond for `length_ms` from 10 s on.
+/// Returns the number of permits that the issuer of this rank issues for one request per
+/// millisecond, from 10 s on for `length_ms`.
 fn permits_issued(rank: usize, per_s: f64, length_ms: Millis) -> u32 {
     let mut issuer = Issuer::default();
     let times = 10_000..10_000 + length_ms;
--- a/crates/core/tests/list_changes.rs
+++ b/crates/core/tests/list_changes.rs
@@ -61,11 +61,12 @@
     now: Millis,
     revision: u64,
     entries: BTreeMap<usize, (Millis, bool)>,
-    /// The last start of each server.
+    /// Start time of the newest instance of each server.
     started_ms: [Millis; NAMES],
-    /// For each change the server's number, and the start if it was removed.
+    /// For each change the server's number, and the start time of the instance if it was removed.
     events: Vec<(usize, Option<Millis>)>,
     lists: Vec<ServerList>,
+    /// Revision up to which each watcher has read the list; 0 before the first read.
     read_to: [u64; WATCHERS],
     full_lists_sent: usize,
     changes_sent: usize,
--- a/crates/core/tests/owner_prefetch.rs
+++ b/crates/core/tests/owner_prefetch.rs
@@ -1,8 +1,9 @@
-//! Refusals in a large fleet while the store is unreachable, by who prefetches the tokens.
+//! Refusals in a large fleet while the store is unavailable, depending on which daemons prefetch
+//! tokens.
 //!
 //! Load pattern: 240 daemons, 40 budgets of which a few are large, 700 requests per second
 //! of 1,000 to 40,000 tokens, spread evenly except for one daemon that gets a tenth of
-//! them; after 6 s the store is unreachable for 8 s. If each daemon prefetches for itself,
+//! them; after 6 s the store is unavailable for 8 s. If each daemon prefetches for itself,
 //! 2,243 of the 5,600 requests in this simulated outage find no tokens while 20 million
 //! are free at other daemons; if owners prefetch for the fleet, 244 do. In the first outage
 //! of the users' calm day the change reduced 2,083 refusals to 408.
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Draws `need` and the prefetch of the owner from the store, which is reachable.
+    /// Draws `need` and the prefetch of the owner from the store, which is available.
     fn draw(&mut self, n: usize, need: Tokens, now: Millis) {
         let owner = Fleet::owner(n);
         let terms = self.terms(owner, n);
--- a/crates/core/tests/store_read_policy.rs
+++ b/crates/core/tests/store_read_policy.rs
@@ -1,7 +1,7 @@
 //! Load on the store during an outage and at the start of a fleet.
 //!
-//! Guards against two load patterns: 295 daemons in five halls lose the store for 9 s; all
-//! daemons of such a fleet start at once. When each daemon probed the store five times a
+//! Guards against two load patterns: the store is unavailable for 9 s to 295 daemons
+//! in five halls; all daemons of such a fleet start at once. When each daemon probed the store five times a
 //! second, the outage simulated here took 13,275 calls; when each read both lists itself at
 //! startup, the 295 daemons of the users made 629 and 654 calls, instead of 46 and 178.
 
--- a/crates/core/tests/unavailable_servers.rs
+++ b/crates/core/tests/unavailable_servers.rs
@@ -12,7 +12,7 @@
 const HALLS: usize = 3;
 const NOW: Millis = 10_000;
 
-/// Condition that makes one server unavailable.
+/// Condition of one server; most make it unavailable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Condition {
     Available,
--- a/crates/daemon/tests/freshness.rs
+++ b/crates/daemon/tests/freshness.rs
@@ -1,4 +1,7 @@
-//! Age of a daemon's view after heartbeats; see `freshness_by_gossip.rs` in core.
+//! Age of a daemon's view after heartbeats.
+//!
+//! Guards against a view that seems current although no daemon reads the store, because the age in
+//! a heartbeat is counted from its receipt; see `freshness_by_gossip.rs` in core.
 
 use std::sync::Arc;
 
