--- /dev/null
+++ b/crates/bench/src/hint_simulation/check.rs
@@ -0,0 +1,97 @@
+//! Counts requests that reached servers although they had announced that they are leaving or
+//! asked for rest.
+
+use std::collections::HashMap;
+
+use bankcove_core::Millis;
+use bankcove_core::crashes::ServerInstance;
+
+use super::{Outcome, Setup};
+use crate::limit_simulation::FaultKind;
+
+/// Time after a signal from which it binds the daemon, in milliseconds.
+const GRACE_MS: Millis = 500;
+
+/// Daemon, server and time of the server's start.
+type ArrivalKey = (usize, usize, Millis);
+
+/// Requests and signals between daemons and servers.
+#[derive(Debug, Default)]
+pub(super) struct Check {
+    arrivals: HashMap<ArrivalKey, Vec<Millis>>,
+    /// Requested rests with their time and length.
+    rests: Vec<(ArrivalKey, Millis, Millis)>,
+    /// Time at which each daemon received the announcement of each leaving start.
+    leaving_received_at: HashMap<(usize, ServerInstance), Millis>,
+    /// Time at which the first daemon received it.
+    first_received_at: HashMap<ServerInstance, Millis>,
+}
+
+impl Check {
+    /// Records that a request of the daemon reached the server.
+    pub(super) fn record_arrival(
+        &mut self,
+        daemon: usize,
+        server: usize,
+        start: Millis,
+        now: Millis,
+    ) {
+        self.arrivals.entry((daemon, server, start)).or_default().push(now);
+    }
+
+    /// Records that the server asked the daemon for rest.
+    pub(super) fn record_rest(
+        &mut self,
+        daemon: usize,
+        server: usize,
+        start: Millis,
+        now: Millis,
+        rest_ms: Millis,
+    ) {
+        self.rests.push(((daemon, server, start), now, rest_ms));
+    }
+
+    /// Records that the daemon received the announcement that this start is leaving.
+    pub(super) fn record_leaving(&mut self, daemon: usize, start: &ServerInstance, now: Millis) {
+        self.leaving_received_at.entry((daemon, start.clone())).or_insert(now);
+        self.first_received_at.entry(start.clone()).or_insert(now);
+    }
+
+    /// Returns when the first daemon received the announcement that this start is leaving.
+    pub(super) fn first_announcement(&self, start: &ServerInstance) -> Option<Millis> {
+        self.first_received_at.get(start).copied()
+    }
+
+    /// Computes the counts of the outcome.
+    pub(super) fn finish(&self, outcome: &mut Outcome, setup: &Setup) {
+        // A restarted daemon has lost the signals, and a suspended one sends requests late that
+        // it had routed before.
+        let is_exempt = |daemon: usize, from: Millis, until: Millis| {
+            setup.faults.0.iter().any(|fault| {
+                fault.kind != FaultKind::Partition
+                    && fault.daemons.contains(&daemon)
+                    && fault.from <= until
+                    && fault.until + GRACE_MS >= from
+            })
+        };
+        for ((daemon, start), received_at) in &self.leaving_received_at {
+            let number = start.name.as_str()[1..].parse().unwrap_or_default();
+            let key = (*daemon, number, start.started_ms);
+            let arrivals = self.arrivals.get(&key).into_iter().flatten();
+            outcome.late_requests += arrivals
+                .filter(|at| {
+                    **at > received_at + GRACE_MS && !is_exempt(*daemon, *received_at, **at)
+                })
+                .count();
+        }
+        for (key, at, rest_ms) in &self.rests {
+            let (from, until) = (at + GRACE_MS, at + rest_ms);
+            if is_exempt(key.0, *at, until) {
+                continue;
+            }
+            let arrivals = self.arrivals.get(key).into_iter().flatten();
+            let within = arrivals.filter(|at| **at > from && **at < until).count();
+            outcome.max_in_rest = outcome.max_in_rest.max(within);
+        }
+    }
+}
--- a/crates/bench/src/schedule.rs
+++ b/crates/bench/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Things that happen at a time, in order.
+//! Event queue ordered by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,7 +8,7 @@
 struct Entry<T> {
     at: Millis,
     order: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A queue of what is to happen; equal times keep their order.
+/// Queue of future events. Events of the same time keep the order in which they were added.
 pub struct Schedule<T> {
     entries: BinaryHeap<Reverse<Entry<T>>>,
     order: u64,
@@ -44,14 +44,14 @@
 }
 
 impl<T> Schedule<T> {
-    /// Lets `what` happen at this time.
-    pub fn at(&mut self, at: Millis, what: T) {
+    /// Adds an event at this time.
+    pub fn at(&mut self, at: Millis, event: T) {
         self.order += 1;
-        self.entries.push(Reverse(Entry { at, order: self.order, what }));
+        self.entries.push(Reverse(Entry { at, order: self.order, event }));
     }
 
-    /// Takes what happens next.
+    /// Removes and returns the earliest event with its time.
     pub fn take_next(&mut self) -> Option<(Millis, T)> {
-        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.what))
+        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -9,7 +9,7 @@
 use bankcove_core::members::{Host, HostRole, HostState};
 use bankcove_core::table::Table;
 use bankcove_standins::engine::{self, Settings};
-use bankcove_standins::{Running, service, store};
+use bankcove_standins::{RunningStandIn, service, store};
 use bankcoved::auth::hash_key;
 use bankcoved::base::config::Config;
 use bankcoved::daemon::Daemon;
@@ -46,9 +46,9 @@
 const REQUESTS: u32 = 3;
 
 struct Demo {
-    store: Running,
-    servers: Vec<Running>,
-    daemons: Vec<lifecycle::Running>,
+    store: RunningStandIn,
+    servers: Vec<RunningStandIn>,
+    daemons: Vec<lifecycle::RunningDaemon>,
     http: reqwest::Client,
 }
 
@@ -74,7 +74,7 @@
             let ports = Ports::reserve()?;
             let cfg = settings(n, &table, &store.address().to_string(), &ports)?;
             let daemon = Daemon::new(cfg, bankcoved::base::logging::discard())?;
-            daemons.push(lifecycle::Running::start(daemon).await?);
+            daemons.push(lifecycle::RunningDaemon::start(daemon).await?);
         }
         let demo = Demo { store, servers, daemons, http };
         demo.list_hosts().await?;
@@ -85,7 +85,7 @@
 
     /// Writes the daemons to the store's host list.
     async fn list_hosts(&self) -> Result<()> {
-        let host = |running: &lifecycle::Running| Host {
+        let host = |running: &lifecycle::RunningDaemon| Host {
             name: running.daemon.cfg.name.clone(),
             hall: running.daemon.cfg.hall.clone(),
             address: running.daemon.cfg.peer_listen.clone(),
@@ -204,13 +204,13 @@
     }
 
     async fn stop(self) {
-        let stopping = self.daemons.into_iter().map(lifecycle::Running::stop);
+        let stopping = self.daemons.into_iter().map(lifecycle::RunningDaemon::stop);
         futures::future::join_all(stopping).await;
     }
 }
 
 /// Starts the stand-ins and returns the example table with their addresses as servers.
-async fn start_servers() -> Result<(Table, Vec<Running>)> {
+async fn start_servers() -> Result<(Table, Vec<RunningStandIn>)> {
     let mut table: Table = serde_json::from_str(TABLE)
         .map_err(|e| Error::Demo(format!("examples/vaasa.json: {e}")))?;
     let mut servers = Vec::new();
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -1,9 +1,9 @@
-//! Recent crashes, indexed by server and by request, and the evidence that they are against a
-//! request.
+//! Recent crashes, indexed by server instance and by request, and the evidence against a request
+//! that follows from them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::facts::{Crash, ServerStart};
+use super::facts::{Crash, ServerInstance};
 use crate::{Fingerprint, Millis};
 
 /// Retention of crashes, in milliseconds: long enough to block a caller that retries every minute
@@ -11,7 +11,7 @@
 const RETENTION_MS: Millis = 300_000;
 
 /// Maximum age of crashes that are sent to peers, in milliseconds. It is below the retention, so
-/// that a crash that one daemon has just dropped is not sent back by another.
+/// that a crash that one daemon has just removed is not sent back by another.
 const MAX_REPORTED_AGE_MS: Millis = RETENTION_MS - 10_000;
 
 /// Maximum number of crashes: about four minutes at one crash per second.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Evidence<'a> {
     /// Crashed servers, in the order of their crashes.
-    pub(super) servers: Vec<&'a ServerStart>,
+    pub(super) servers: Vec<&'a ServerInstance>,
     /// Number of incidents, that is groups of nearly simultaneous crashes.
     pub(super) incidents: usize,
 }
@@ -44,8 +44,8 @@
 /// Recent crashes, bounded in age and number.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CrashHistory {
-    crashes: BTreeMap<ServerStart, CrashRecord>,
-    by_request: HashMap<Fingerprint, BTreeSet<ServerStart>>,
+    crashes: BTreeMap<ServerInstance, CrashRecord>,
+    by_request: HashMap<Fingerprint, BTreeSet<ServerInstance>>,
     dropped: u64,
 }
 
@@ -54,13 +54,13 @@
         self.crashes.len()
     }
 
-    /// Returns the number of facts dropped because of the size bounds.
+    /// Returns the number of crashes evicted and requests left out because of the size bounds.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Whether this server start is known to have crashed.
-    pub(super) fn contains(&self, server: &ServerStart) -> bool {
+    /// Whether this server instance is known to have crashed.
+    pub(super) fn contains(&self, server: &ServerInstance) -> bool {
         self.crashes.contains_key(server)
     }
 
@@ -70,8 +70,8 @@
         self.by_request.get(&request).map_or(0, BTreeSet::len)
     }
 
-    /// Returns the requests that this server start was running when it crashed.
-    pub(super) fn requests_of(&self, server: &ServerStart) -> impl Iterator<Item = Fingerprint> {
+    /// Returns the requests that this server instance was running when it crashed.
+    pub(super) fn requests_of(&self, server: &ServerInstance) -> impl Iterator<Item = Fingerprint> {
         self.crashes.get(server).into_iter().flat_map(|crash| crash.running.iter().copied())
     }
 
@@ -85,7 +85,7 @@
     pub(super) fn add(
         &mut self,
         at: Millis,
-        server: &ServerStart,
+        server: &ServerInstance,
         running: impl IntoIterator<Item = Fingerprint>,
     ) -> Vec<Fingerprint> {
         let crash = self
@@ -107,12 +107,12 @@
         new
     }
 
-    /// Drops crashes that are older than the retention.
-    pub(super) fn forget_old(&mut self, now: Millis) {
+    /// Removes crashes that are older than the retention.
+    pub(super) fn remove_expired(&mut self, now: Millis) {
         let is_expired = |crash: &CrashRecord| now.saturating_sub(crash.at) >= RETENTION_MS;
         let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
-        let expired: Vec<ServerStart> = expired.map(|(server, _)| server.clone()).collect();
-        expired.iter().for_each(|server| self.forget(server));
+        let expired: Vec<ServerInstance> = expired.map(|(server, _)| server.clone()).collect();
+        expired.iter().for_each(|server| self.remove(server));
     }
 
     /// Whether a crash of this age is sent to peers.
@@ -142,7 +142,7 @@
     ) -> Evidence<'_> {
         let servers = self.by_request.get(&request).into_iter().flatten();
         let crashes = servers.filter_map(|server| self.crashes.get_key_value(server));
-        let mut crashes: Vec<(&ServerStart, &CrashRecord)> = crashes
+        let mut crashes: Vec<(&ServerInstance, &CrashRecord)> = crashes
             .filter(|(_, crash)| since.is_none_or(|since| crash.at > since))
             .filter(|(_, crash)| {
                 !crash.running.iter().any(|other| *other != request && explains(other))
@@ -184,17 +184,17 @@
         is_near(later) && self.crashes.values().any(is_unrelated)
     }
 
-    /// Drops the oldest crashes while there are too many.
+    /// Evicts the oldest crashes while there are too many.
     fn evict_oldest(&mut self) {
         while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
             let Some(oldest) = oldest.map(|(server, _)| server.clone()) else { return };
-            self.forget(&oldest);
+            self.remove(&oldest);
             self.dropped += 1;
         }
     }
 
-    fn forget(&mut self, server: &ServerStart) {
+    fn remove(&mut self, server: &ServerInstance) {
         let Some(crash) = self.crashes.remove(server) else { return };
         for request in &crash.running {
             let Some(servers) = self.by_request.get_mut(request) else { continue };
--- a/crates/core/src/holder.rs
+++ b/crates/core/src/holder.rs
@@ -30,8 +30,9 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Millis, Name, Tokens};
 
-/// A holder draws when it has less than this fraction of its prefetch target. 0.8 with a
-/// shorter horizon refused as many requests in network cuts and after power losses.
+/// A holder draws when it has less than this fraction of its prefetch target. With a fraction
+/// of 0.8 and a shorter horizon, as many requests were refused in network cuts and after power
+/// losses.
 const LOW_FRACTION: f64 = 0.5;
 
 /// Time after the first reservation, in milliseconds, from which the measured rates
@@ -80,7 +81,7 @@
 pub struct Holder {
     incarnation: Incarnation,
     accounts: HashMap<Name, Account>,
-    /// Rate of tokens that requests reserved here or lacked at other daemons, all budgets.
+    /// Rate of tokens, over all budgets, that requests reserved here or lacked at other daemons.
     asked_for: Rate,
     /// Rate of those requests.
     requests: Rate,
@@ -198,7 +199,7 @@
     }
 
     /// Returns whether tokens should be prefetched because too few are held. True also before
-    /// the first request, which may arrive while the store is unreachable.
+    /// the first request, which may arrive while the store is unavailable.
     pub fn is_low(&self, budget: &Name, terms: &DrawTerms, now: Millis) -> bool {
         let Some(account) = self.accounts.get(budget) else {
             return self.effective_terms(terms, now).min_held(terms.tokens, Tokens::MAX) > 0;
@@ -267,7 +268,7 @@
             free: account.free(),
             opened: account.opened,
             witnesses: Vec::new(),
-            replaced_start: account.earlier_start,
+            replaced_incarnation: account.earlier_start,
             number: account.draws,
             returned: account.returned,
             need,
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Adds the witnesses that the next draw names. Until its answer arrives the store may
+    /// Adds the witnesses that the next draw names. Until its reply arrives, the store may
     /// have recorded either these or the previous ones, so all of them have to agree.
     pub fn propose_witnesses(&mut self, budget: &Name, witnesses: &[Witness]) {
         let account = self.accounts.entry(budget.clone()).or_default();
@@ -345,7 +346,7 @@
 
     /// Debits up to `max` free tokens for `receiver` and returns the cumulative sum sent to
     /// it. Tokens sent beyond `already_received`, its own cumulative count, are still in
-    /// transit and count towards `max`: a retry after a lost answer debits nothing twice.
+    /// transit and count towards `max`: a retry after a lost reply debits nothing twice.
     pub fn transfer(
         &mut self,
         budget: &Name,
--- a/crates/core/src/holder/allot.rs
+++ b/crates/core/src/holder/allot.rs
@@ -23,8 +23,8 @@
 
 /// Fraction of the whole budget below which the prefetched part of the rest decreases.
 /// Without the decrease (0), fewer than a quarter of the requests were served 15 s after
-/// all processes were lost, on one of five seeds of a day with a third of the budget left
-/// by then.
+/// all processes were lost, in one of five simulated days (different seeds) with a third of
+/// the budget left by then.
 const TAPER_BELOW_FRACTION: f64 = 0.3;
 
 /// Tokens of a budget that stay with the store for each one that all holders together
@@ -144,7 +144,7 @@
         self.record_received(&request.budget, request.holder, request.given_back);
         let account = self.accounts.entry(request.budget.clone()).or_default();
         // Tokens that come back were not spent.
-        account.allotted_rate.record_drop(known, request.given_back.max(known), now);
+        account.allotted_rate.record_decrease(known, request.given_back.max(known), now);
     }
 
     /// Allots the tokens that `request` needs, and those that it wants ahead as far as there
@@ -164,7 +164,7 @@
         let max = request.want.min(request.need.saturating_add(ahead));
         let free = account.free();
         let sent = account.sent.entry(request.holder).or_default();
-        // Tokens sent but not yet received count: the answer that reported them was lost.
+        // Tokens sent but not yet received count: the reply that reported them was lost.
         let in_transit = if addresses_me { sent.saturating_sub(received) } else { 0 };
         let missing = request.need.saturating_sub(in_transit).saturating_sub(free);
         if missing > 0 {
--- a/crates/core/src/holder/draw.rs
+++ b/crates/core/src/holder/draw.rs
@@ -7,7 +7,7 @@
 use crate::witness::Witness;
 use crate::{Incarnation, Name, Tokens};
 
-/// Settings of a budget's row, and the daemon's part in it, that a draw carries.
+/// Settings of a budget's row that a draw carries, and the drawing daemon's role for the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DrawTerms {
     /// Tokens that the budget's row allows.
@@ -19,7 +19,7 @@
     /// At most 1/`share_divisor` of what is available is drawn at once.
     pub share_divisor: u64,
     /// Fraction of an equal share that is held at least, so that a daemon that spends little
-    /// has tokens when the store is unreachable.
+    /// has tokens when the store is unavailable.
     pub held_ahead: f64,
     /// Fraction of what all holders together may prefetch ([`held_fraction`]) that an owner in
     /// a large fleet reserves for the other daemons before the spending is known; 0 for
@@ -66,11 +66,11 @@
     pub free: Tokens,
     /// Cumulative tokens of its grant that the holder has opened.
     pub opened: Tokens,
-    /// Witnesses that attest what the holder opens while the store is unreachable.
+    /// Witnesses that attest what the holder opens while the store is unavailable.
     pub witnesses: Vec<Witness>,
     /// An earlier incarnation at that address, as known to the holder, which this draw ends.
     #[serde(rename = "ends")]
-    pub replaced_start: Option<Incarnation>,
+    pub replaced_incarnation: Option<Incarnation>,
     /// Sequence number among the draws of this holder and budget.
     pub number: u64,
     /// Cumulative tokens that the holder has given back to the store; the holder has already
--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -33,14 +33,14 @@
     pub ration_s: f64,
 }
 
-/// Factor by which the free tokens count during an outage of the store. The outage is as
-/// likely as not to end within the time that it has lasted; without the factor more is
-/// refused than is missing at its end.
+/// Factor applied to the free tokens during an outage of the store. An outage is as likely
+/// as not to end within the time that it has already lasted; without the factor, requests
+/// are refused for tokens that are still unused when it ends.
 const OUTAGE_FACTOR: Tokens = 2;
 
 impl Holder {
     /// Returns the most that the caller's request behind a token request may reserve
-    /// ([`Holder::ration`]), as the owner sees the budget. While the store is unreachable, the
+    /// ([`Holder::ration`]), as the owner sees the budget. While the store is unavailable, the
     /// tokens left with it do not count.
     pub fn ration_for(
         &self,
@@ -94,7 +94,7 @@
         let account = self.accounts.entry(budget.clone()).or_default();
         // Tokens that daemons prefetch and give back again are not counted as used.
         let before = account.outlook.map_or(outlook.left, |before| before.left);
-        account.fleet_rate.record_drop(before, outlook.left, now);
+        account.fleet_rate.record_decrease(before, outlook.left, now);
         account.outlook = Some(outlook);
         account.outlook_at = now;
     }
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -92,8 +92,8 @@
 }
 
 impl Attempt<Admitted> {
-    /// Returns the maximum cost.
-    pub fn limit(&self) -> Tokens {
+    /// Returns the maximum cost, which is reserved, in tokens.
+    pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
@@ -110,8 +110,8 @@
 }
 
 impl Attempt<Dispatched> {
-    /// Returns the maximum cost.
-    pub fn limit(&self) -> Tokens {
+    /// Returns the maximum cost, which is reserved, in tokens.
+    pub fn max_cost(&self) -> Tokens {
         self.state.reservation.tokens()
     }
 
--- a/crates/core/src/router/view.rs
+++ b/crates/core/src/router/view.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::crashes::ServerStart;
+use crate::crashes::ServerInstance;
 use crate::router::load::Load;
 use crate::table::{Server, ServerKind, ServerState};
 use crate::{Millis, Name, Tokens};
@@ -61,12 +61,12 @@
     pub(super) row_draining: bool,
     pub(super) listed_leaving: bool,
     pub(super) leaving_until: Millis,
-    /// Whether it has announced in its answers that it is leaving; this is final.
+    /// Whether it has announced in its responses that it is leaving; this is final.
     pub(super) said_leaving: bool,
     /// When the rest that it has asked this daemon for ends.
     pub(super) rests_until: Millis,
     pub(super) in_flight: u32,
-    /// Tokens of the prompts that this daemon has sent and whose answers have not begun.
+    /// Tokens of the prompts that this daemon has sent and whose responses have not begun.
     pub(super) unread: Tokens,
     /// The same for peers, from their reports.
     pub(super) unread_elsewhere: Tokens,
@@ -118,16 +118,16 @@
     }
 
     /// Returns the instance of the server that is in the table.
-    pub fn start(&self) -> ServerStart {
-        ServerStart { name: self.name.clone(), started_ms: self.started_ms }
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance { name: self.name.clone(), started_ms: self.started_ms }
     }
 
     /// Returns the instance of the server, with the start time from its load reports when the
     /// table has none.
-    pub(super) fn known_start(&self) -> ServerStart {
+    pub(super) fn known_instance(&self) -> ServerInstance {
         let is_listed = self.started_ms != 0;
         let started_ms = if is_listed { self.started_ms } else { self.reported_start_ms };
-        ServerStart { name: self.name.clone(), started_ms }
+        ServerInstance { name: self.name.clone(), started_ms }
     }
 
     /// Returns the number of requests from the last load report, corrected by the requests that
@@ -175,8 +175,8 @@
         !self.is_leaving(now) && now >= self.ejected_until && self.in_flight < self.limit
     }
 
-    /// Returns whether the server rejects this request during slow start: the share of accepted
-    /// requests grows linearly over [`SLOW_START_MS`]. `seed` is random.
+    /// Returns whether slow start keeps this request from the server: the share of requests that it
+    /// gets grows linearly over [`SLOW_START_MS`]. `seed` is random.
     pub(super) fn is_shed_by_slow_start(&self, now: Millis, seed: u64) -> bool {
         let ejected_until = (self.ejections > 0).then_some(self.ejected_until);
         let rested_until = (self.rests_until > 0).then_some(self.rests_until);
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -8,9 +8,9 @@
 use super::{Entry, ListVersion, ListedServer, RemovedServer, ServerList, SharedServer};
 use crate::Millis;
 
-/// Maximum number of remembered removals: some 60 bytes each, and more than half of 10,000
-/// servers are replaced in a release.
-const MAX_REMEMBERED_REMOVALS: usize = 8_192;
+/// Maximum number of recorded removals: some 60 bytes each, and enough for a release, which
+/// replaces more than half of 10,000 servers.
+const MAX_RECORDED_REMOVALS: usize = 8_192;
 
 /// An update of the list from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,10 +59,11 @@
         Some((self.version, update))
     }
 
-    /// Returns the order-independent hash of all entries that are not in their grace period.
+    /// Returns an order-independent hash of all entries that are not in their grace period; 0 if
+    /// there are none.
     pub fn digest(&self) -> u64 {
         let registered = self.entries.values().filter(|entry| entry.dropped_at.is_none());
-        registered.fold(0, |sum, entry| sum ^ hash(&entry.server))
+        registered.fold(0, |sum, entry| sum ^ digest_term(&entry.server))
     }
 
     /// Whether this list differs from a peer's after the peer's changes were applied: outages and
@@ -87,7 +88,7 @@
                 for gone in gone {
                     match self.started_ms(&gone.name) {
                         // Other peers may have seen it.
-                        None => self.remember_removed(version.at, gone),
+                        None => self.record_removal(version.at, gone),
                         Some(known) if known <= gone.started_ms => {
                             self.remove_now(version.at, gone);
                         }
@@ -105,10 +106,10 @@
     }
 
     /// Adds or merges one entry received from a peer.
-    fn put_shared(&mut self, now: Millis, at: u64, shared: SharedServer) {
+    fn put_shared(&mut self, now: Millis, platform_version: u64, shared: SharedServer) {
         let SharedServer { server, dropped_in, cold_in } = shared;
         let (cold_until, dropped_at) = (now + cold_in, dropped_in.map(|left| now + left));
-        let entry = Entry { cold_until, dropped_at, changed_at: at, server };
+        let entry = Entry { cold_until, dropped_at, changed_at: platform_version, server };
         let known = self.entries.get(&entry.server.name);
         if dropped_at.is_some() && known.is_none() {
             // This daemon has already removed it.
@@ -118,17 +119,18 @@
         self.entries.insert(entry.server.name.clone(), entry);
     }
 
-    pub(super) fn remember_removed(&mut self, at: u64, gone: RemovedServer) {
-        self.removed.push_back((at, gone));
-        while self.removed.len() > MAX_REMEMBERED_REMOVALS
+    pub(super) fn record_removal(&mut self, platform_version: u64, gone: RemovedServer) {
+        self.removed.push_back((platform_version, gone));
+        while self.removed.len() > MAX_RECORDED_REMOVALS
             && let Some((at, _)) = self.removed.pop_front()
         {
             self.changes_from = self.changes_from.max(at);
         }
     }
 
-    /// Forgets removals, so that peers with a version below `from` receive the full list.
-    pub(super) fn forget_changes(&mut self, from: u64) {
+    /// Discards the recorded removals: peers with a version below `from` now receive the full
+    /// list.
+    pub(super) fn discard_removals(&mut self, from: u64) {
         self.removed.clear();
         self.changes_from = from;
     }
@@ -144,7 +146,7 @@
     }
 }
 
-fn hash(server: &ListedServer) -> u64 {
+fn digest_term(server: &ListedServer) -> u64 {
     let mut buf = server.name.as_str().as_bytes().to_vec();
     buf.extend_from_slice(&server.started_ms.to_le_bytes());
     buf.extend_from_slice(server.address.as_bytes());
--- a/crates/core/src/store_read_policy.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -30,7 +30,7 @@
 const MAX_STARTUP_RANK_DELAY_MS: Millis = 500;
 
 /// Interval at which a reader probes an unavailable store, in milliseconds: a server's
-/// announcement that it is leaving is to be known within two seconds of the store's return.
+/// announcement that it is leaving is to be known within two seconds of the end of an outage.
 const READER_PROBE_MS: Millis = 200;
 
 /// Shortest and longest probe interval of other daemons, in milliseconds. Readers detect a
@@ -118,13 +118,13 @@
     }
 
     /// Returns the time until the next probe of the store after this many consecutive `failures`,
-    /// in milliseconds. `spread`, a random number from 0 to 1, keeps daemons that lost the store
+    /// in milliseconds. `jitter`, a random number from 0 to 1, keeps daemons that lost the store
     /// together from probing it together.
-    pub fn probe_interval(&self, failures: u32, spread: f64) -> Millis {
+    pub fn probe_interval(&self, failures: u32, jitter: f64) -> Millis {
         if self.is_reader() || failures < UNAVAILABLE_AFTER_FAILURES {
             return READER_PROBE_MS;
         }
         let (shortest, longest) = NON_READER_PROBE_RANGE_MS;
-        shortest + ((longest - shortest) as f64 * spread) as Millis
+        shortest + ((longest - shortest) as f64 * jitter) as Millis
     }
 }
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -6,7 +6,7 @@
 use bankcove_core::crashes::Verdict;
 use bankcove_core::router::{Choice, Homes, NoServer, RoutingRequest};
 use bankcove_core::{Fingerprint, Millis, Name, Tokens};
-use bankcove_ports::wire::{Dispatch, Incoming, Prompt};
+use bankcove_ports::wire::{Dispatch, Prompt, RequestHead};
 use bytes::Bytes;
 use salvo::http::uri::PathAndQuery;
 use salvo::http::{HeaderMap, Method};
@@ -15,7 +15,7 @@
 
 use crate::crashes::isolation::IsolatedRun;
 use crate::entry::Entry;
-use crate::entry::backends::Outgoing;
+use crate::entry::backend::BackendRequest;
 use crate::entry::link_reservation::LinkReservation;
 use crate::entry::plan::Plan;
 use crate::entry::refusal::Refusal;
@@ -35,12 +35,12 @@
 
 /// Request of a caller while it is served.
 pub struct Call {
-    /// Entry side that has received it.
+    /// Entry proxy that has received it.
     pub entry: Arc<Entry>,
     /// Logger that adds the request's id.
     pub log: Logger,
     /// Parsed headers.
-    pub incoming: Incoming,
+    pub incoming: RequestHead,
     /// Rows of the table that apply to it.
     pub plan: Plan,
     /// Method.
@@ -102,7 +102,7 @@
         shared >= MIN_COPIED_TOKENS
     }
 
-    /// Returns whether it is known, or suspected, to crash servers.
+    /// Returns the verdict on whether the request crashes servers, as known to this daemon.
     pub fn verdict(&self) -> Verdict {
         self.entry.requests.crashes.verdict(|| self.fingerprint())
     }
@@ -217,10 +217,10 @@
     /// [`NoServer`] when no server is available.
     fn choose(&self) -> Result<Choice, NoServer> {
         let seed = rand::random();
-        let place = self.entry.requests.crashes.placement(|| self.fingerprint());
+        let placement = self.entry.requests.crashes.placement(|| self.fingerprint());
         let request = RoutingRequest {
             pool: self.plan.service.as_str(),
-            prefix: place.map_or_else(|| self.affinity_or(seed), |place| place.key),
+            prefix: placement.map_or_else(|| self.affinity_or(seed), |placement| placement.key),
             prompt_tokens: self.prompt_tokens(),
             hour: 0,
             seed,
@@ -228,7 +228,7 @@
             homes: Homes { route: &self.plan.route.homes, workspace: &self.plan.workspace_homes },
         };
         let requests = &self.entry.requests;
-        let rank = place.map_or(0, |place| place.rank);
+        let rank = placement.map_or(0, |placement| placement.rank);
         requests.router.lock().choose_ranked(requests.base.clock.now(), &request, rank)
     }
 
@@ -239,17 +239,17 @@
 
     /// Returns the request to send to this server. `resume_after` is the last event that the
     /// caller has received.
-    pub fn outgoing(&self, choice: &Choice, resume_after: Option<u64>) -> Outgoing {
+    pub fn backend_request(&self, choice: &Choice, resume_after: Option<u64>) -> BackendRequest {
         let time_left = self.entry.requests.base.clock.time_until(self.deadline);
         let dispatch = Dispatch {
             server: &choice.server,
             workspace: self.plan.workspace.as_ref(),
             copy_from: choice.copy_from.as_deref().filter(|_| self.is_worth_copying()),
-            patience: time_left.max(Duration::from_millis(1)),
+            time_left: time_left.max(Duration::from_millis(1)),
             urgency: None,
             resume_after,
         };
-        Outgoing {
+        BackendRequest {
             method: self.method.clone(),
             path: self.path.clone(),
             headers: self.entry.wire.request_headers(&self.headers, &dispatch),
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -5,7 +5,7 @@
 //! maintain this state, are in `membership`.
 
 pub mod connectivity;
-pub mod query_throttle;
+pub mod fetch_throttle;
 pub mod suspension;
 
 use std::sync::Arc;
@@ -79,8 +79,8 @@
         answer_time(asked_at, self.base.clock.now(), WATCH_ANSWER_TIMEOUT_MS)
     }
 
-    /// Returns the number of daemons in the fleet, by the platform's list; none while the list may
-    /// be that of a fleet that is still starting.
+    /// Returns the number of daemons in the fleet, by the platform's list; `None` while the list
+    /// may be that of a fleet that is still starting.
     pub fn size(&self) -> Option<usize> {
         match self.members.lock().fleet_size() {
             FleetSize::Listed(size) => Some(size),
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Whether the fleet is so small that each daemon writes to the store by itself. Does not
-    /// depend on how many peers answer now: hundreds of daemons that had all restarted took
-    /// themselves for a small fleet, and their writes to four ledgers conflicted for 15 s.
+    /// Returns whether the fleet is so small that each daemon writes to the store by itself. Does
+    /// not depend on how many peers answer now: when it did, each of hundreds of restarted daemons
+    /// assumed a small fleet, and their writes to four ledgers conflicted for 15 s.
     pub fn is_small(&self) -> bool {
         self.size().is_some_and(|size| size <= self.base.cfg.limits.direct_daemons)
     }
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Whether this daemon learns of changes in the store from peers and need not read it: other
-    /// daemons of its hall do, and its view is recent.
+    /// Returns whether this daemon learns of changes in the store from peers and need not read it:
+    /// other daemons of its hall do, and its view is recent.
     pub fn is_synced_by_peers(&self) -> bool {
         self.time_until_stale().is_some()
     }
 
-    /// Returns the time for which this daemon still relies on peers; none if it reads the store
+    /// Returns the time for which this daemon still relies on peers; `None` if it reads the store
     /// itself.
     fn time_until_stale(&self) -> Option<Duration> {
         let view_age = self.connectivity.view_age(self.base.clock.now());
@@ -126,7 +126,7 @@
     }
 
     /// Returns the pause until the next check whether this daemon still learns of changes from
-    /// peers, at most the time for which it relies on them; none if it reads the store itself.
+    /// peers, at most the time for which it relies on them; `None` if it reads the store itself.
     pub fn peer_sync_pause(&self) -> Option<Duration> {
         self.time_until_stale().map(|left| left.min(PEER_SYNC_POLL))
     }
@@ -141,7 +141,7 @@
             pause
         } else if self.is_in_startup_wait() {
             STARTUP_POLL
-        } else if self.connectivity.is_store_away(self.base.clock.now()) {
+        } else if self.connectivity.is_store_unavailable(self.base.clock.now()) {
             UNAVAILABLE_POLL
         } else {
             return WatchStep::ReadStore;
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Whether this daemon has just started and still waits to receive the store's state from
-    /// peers.
+    /// Returns whether this daemon has just started and still waits to receive the store's state
+    /// from peers.
     pub fn is_in_startup_wait(&self) -> bool {
         self.base.clock.now() < self.store_read_policy().startup_wait()
     }
 
-    /// Whether this daemon's view of the table and the lists is recent enough for a daemon that
-    /// learns of changes from peers.
+    /// Returns whether this daemon's view of the table and the lists is recent enough for a daemon
+    /// that learns of changes from peers.
     pub fn is_current(&self) -> bool {
         !self.connectivity.is_view_older_than(STALE_VIEW_MS, self.base.clock.now())
     }
--- a/crates/daemon/src/fleet/connectivity.rs
+++ b/crates/daemon/src/fleet/connectivity.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct State {
     store_answered_at: Option<Millis>,
-    store_lost: bool,
+    marked_unavailable: bool,
     store_paused_until: Millis,
     heartbeats: VecDeque<bool>,
     view: Freshness,
@@ -57,7 +57,7 @@
     pub fn record_store_answer(&self, now: Millis) {
         let mut state = self.state.lock();
         state.store_answered_at = Some(now);
-        state.store_lost = false;
+        state.marked_unavailable = false;
         state.store_paused_until = 0;
     }
 
@@ -79,33 +79,34 @@
         self.record_store_answer(now);
     }
 
-    /// Records that this daemon has all versions of a peer which, asked at `asked_at`, reported a
-    /// view of this `age`.
+    /// Records that this daemon is in sync with a peer that, asked at `asked_at`, reported a view
+    /// of this `age`.
     pub fn record_peer_sync(&self, asked_at: Millis, age: Millis) {
         self.state.lock().view.record_peer_sync(asked_at, age);
     }
 
-    /// Returns the greatest possible age of the view, in milliseconds; none before all parts of it
-    /// were received.
+    /// Returns the greatest possible age of the view, in milliseconds; `None` before all parts of
+    /// it were received.
     pub fn view_age(&self, now: Millis) -> Option<Millis> {
         self.state.lock().view.age(now)
     }
 
-    /// Whether the view may be older than `limit`; true before all parts of it were received.
+    /// Returns whether the view may be older than `limit`; true before all parts of it were
+    /// received.
     pub fn is_view_older_than(&self, limit: Millis, now: Millis) -> bool {
         self.state.lock().view.is_older_than(limit, now)
     }
 
-    /// Records that the watch of the store failed. Until the store answers again, only the watch
-    /// calls it: calls of an unavailable store are charged too.
+    /// Records that the watch of the servers or a read of the host list failed. Until the store
+    /// answers again, only that watch calls it: calls of an unavailable store are charged too.
     pub fn mark_store_unavailable(&self) {
-        self.state.lock().store_lost = true;
+        self.state.lock().marked_unavailable = true;
     }
 
     /// Records that this daemon now learns of changes from peers instead of watching the store.
     /// Other calls may then show whether the store is available.
     pub fn clear_store_unavailable(&self) {
-        self.state.lock().store_lost = false;
+        self.state.lock().marked_unavailable = false;
     }
 
     /// Records that a single call failed; the store is not called for a short time.
@@ -113,10 +114,10 @@
         self.state.lock().store_paused_until = now + STORE_FAILURE_PAUSE_MS;
     }
 
-    /// Whether the store counts as unavailable and should not be called now.
-    pub fn is_store_away(&self, now: Millis) -> bool {
+    /// Returns whether the store counts as unavailable and should not be called now.
+    pub fn is_store_unavailable(&self, now: Millis) -> bool {
         let state = self.state.lock();
-        state.store_lost || now < state.store_paused_until
+        state.marked_unavailable || now < state.store_paused_until
     }
 
     /// Records that the store answered a peer, or a daemon that the peer is in contact with, this
@@ -145,14 +146,14 @@
         was_cut_off && answered
     }
 
-    /// Whether none of the last heartbeats was answered.
+    /// Returns whether none of the last [`CUT_OFF_AFTER_FAILURES`] heartbeats was answered.
     pub fn is_cut_off_from_peers(&self) -> bool {
         self.state.lock().is_cut_off_from_peers()
     }
 
-    /// Whether this daemon may be cut off from where drains are accepted: the store has not answered
-    /// for more than `limit` milliseconds, and at least half of the last heartbeats were not
-    /// answered, or too few were sent.
+    /// Returns whether this daemon may be cut off from the part of the fleet that accepts drains:
+    /// the store has not answered for more than `limit` milliseconds, and at least half of the last
+    /// heartbeats were not answered, or too few were sent.
     pub fn is_isolated(&self, now: Millis, limit: Millis) -> bool {
         let state = self.state.lock();
         let is_store_recent =
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,10 +1,10 @@
 //! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` is checked before each request to a server, `observe` records response headers and
-//! facts from peers, `issue` issues permits to peers, and `gossip` sends new facts to peers. This
-//! module may call peers and use the state of the fleet and of the servers. It is called by the
-//! callers' interfaces, by heartbeats and by `peer_server`.
+//! `permit` acquires the permit that each request to a server needs, `observe` records response
+//! headers and facts from peers, `issue` issues permits to peers, and `gossip` exchanges facts with
+//! peers. This module may call peers and use the state of the fleet and of the servers. It is
+//! called by `api`, `entry`, `membership` and `peer_server`.
 
 pub mod gossip;
 mod issue;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use bankcove_core::crashes::ServerStart;
+use bankcove_core::crashes::ServerInstance;
 use bankcove_core::hints::HintFact;
 use bankcove_core::limits::{Issuer, Leases, LimitFact, LimitTracker, RetrySchedule};
 use bankcove_core::router::{AtLimit, NoServer, Resting, Router};
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::Fleet;
-use crate::fleet::query_throttle::QueryThrottle;
+use crate::fleet::fetch_throttle::FetchThrottle;
 
 /// Capacity of the queue of facts to send to peers. Facts that don't fit reach peers by heartbeats.
 const FACT_QUEUE_CAPACITY: usize = 4_096;
@@ -45,24 +45,24 @@
     leases: Mutex<Leases>,
     retry_schedule: Mutex<RetrySchedule>,
     /// Last [`bankcove_core::members::Members::digest`], and since when it is the current one.
-    membership: Mutex<(u64, Millis)>,
+    members_digest: Mutex<(u64, Millis)>,
     /// Issuers that did not answer, and the times until which they are skipped.
     unresponsive: Mutex<HashMap<Name, Millis>>,
     /// Servers with a hint that could not be parsed, which is logged once for each server.
-    unreadable: Mutex<HashMap<ServerStart, String>>,
-    /// Set while limits are known; otherwise the common path skips the lock.
+    unreadable: Mutex<HashMap<ServerInstance, String>>,
+    /// Whether any limit is known; if not, requests skip the lock of `limits`.
     has_limits: AtomicBool,
-    /// Set while servers are leaving or resting; otherwise the common path skips the lock.
+    /// Whether any server is leaving or resting; if not, requests skip the lock of `router`.
     has_closed: AtomicBool,
     /// [`LimitTracker::digest`] after the last change.
     limits_digest: AtomicU64,
     /// [`Router::leaving_digest`] after the last change.
     leaving_digest: AtomicU64,
-    /// Limits how often facts are requested from peers.
-    pull_pause: QueryThrottle,
+    /// Limits how often facts are fetched from peers.
+    fetch_throttle: FetchThrottle,
     /// Queue of facts to send to peers.
     fact_queue: mpsc::Sender<HintFact>,
-    /// Receiver of that queue; taken by [`gossip::spawn_gossip`].
+    /// Receiver of that queue, taken by [`gossip::spawn_sender`].
     fact_receiver: Mutex<Option<mpsc::Receiver<HintFact>>>,
 }
 
@@ -77,14 +77,14 @@
             issuer: Mutex::default(),
             leases: Mutex::default(),
             retry_schedule: Mutex::default(),
-            membership: Mutex::default(),
+            members_digest: Mutex::default(),
             unresponsive: Mutex::default(),
             unreadable: Mutex::default(),
             has_limits: AtomicBool::new(false),
             has_closed: AtomicBool::new(false),
             limits_digest: AtomicU64::new(0),
             leaving_digest: AtomicU64::new(0),
-            pull_pause: QueryThrottle::default(),
+            fetch_throttle: FetchThrottle::default(),
             fact_queue,
             fact_receiver: Mutex::new(Some(fact_receiver)),
         }
@@ -116,7 +116,7 @@
     }
 
     /// Replaces the retry delay of a caller whose servers are all at their limits or resting by the
-    /// next free one, so that callers return one after the other.
+    /// next free one of the retry schedule, so that callers return one after the other.
     pub fn schedule_retry(&self, service: &Name, why: NoServer) -> NoServer {
         match why {
             NoServer::OnlyLimited(at_limit) => {
@@ -139,11 +139,11 @@
         self.retry_schedule.lock().next_delay(now, service, first_ms, per_second, rand::random())
     }
 
-    /// Returns since when the membership of the fleet is the current one.
+    /// Returns the time since which the membership of the fleet has not changed.
     fn membership_since(&self) -> Millis {
         let digest = self.fleet.members.lock().digest();
         let now = self.fleet.base.clock.now();
-        let mut membership = self.membership.lock();
+        let mut membership = self.members_digest.lock();
         if membership.0 != digest {
             *membership = (digest, now);
         }
@@ -155,17 +155,17 @@
         self.membership_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
-            self.change_closed(|router| router.expire_closed(now));
+            self.change_closed(|router| router.remove_expired_hints(now));
         }
         if !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let listed: HashSet<ServerStart> = {
+        let listed: HashSet<ServerInstance> = {
             let router = self.router.lock();
-            router.servers().iter().map(|view| view.start()).collect()
+            router.servers().iter().map(|view| view.instance()).collect()
         };
-        self.change_limits(|limits| limits.forget_old(now, |server| listed.contains(server)));
-        let is_limited = |server: &ServerStart| self.limits.lock().limit(server).is_some();
+        self.change_limits(|limits| limits.remove_expired(now, |server| listed.contains(server)));
+        let is_limited = |server: &ServerInstance| self.limits.lock().limit(server).is_some();
         self.issuer.lock().retain(is_limited);
         self.leases.lock().retain(is_limited);
         self.unresponsive.lock().retain(|_, until| now < *until);
@@ -176,7 +176,7 @@
     pub fn dump(&self) -> Value {
         let now = self.fleet.base.clock.now();
         let facts = self.limits.lock().facts(now, usize::MAX, 0);
-        let levels: HashMap<ServerStart, (usize, f64)> = {
+        let levels: HashMap<ServerInstance, (usize, f64)> = {
             let issuer = self.issuer.lock();
             issuer.levels().map(|(server, rank, left)| (server.clone(), (rank, left))).collect()
         };
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server start-up and request body reading, shared by all HTTP interfaces of the daemon.
+//! HTTP listeners for all interfaces of the daemon, and reading of request bodies for `api`.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::base::tcp;
 use crate::error::{Error, Result};
 
-/// A running HTTP server.
-pub struct HttpServer {
-    /// Stops the server.
+/// A running HTTP listener.
+pub struct HttpListener {
+    /// Stops the listener.
     pub handle: ServerHandle,
-    /// Completes when the server has stopped.
+    /// Completes when the listener has stopped.
     pub task: JoinHandle<()>,
 }
 
-/// Starts a server for `router` on `address`.
+/// Starts a listener on `address` that serves the routes of `router`.
 ///
 /// # Errors
 /// [`Error::Listen`] if the address can't be bound.
-pub async fn serve(address: &str, router: Router) -> Result<HttpServer> {
+pub async fn serve(address: &str, router: Router) -> Result<HttpListener> {
     let acceptor = TcpAcceptor::try_from(tcp::listen(address)?);
     let acceptor =
         acceptor.map_err(|source| Error::Listen { address: address.to_owned(), source })?;
     let server = Server::new(acceptor);
     let handle = server.handle();
     let task = tokio::spawn(async move { server.serve(router).await });
-    Ok(HttpServer { handle, task })
+    Ok(HttpListener { handle, task })
 }
 
 /// Reads a request body within the size and time limits of the settings.
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -39,8 +39,8 @@
         Ok(client)
     }
 
-    /// Calls the peer at this address and returns its response; none if the connection or the call
-    /// fails or times out.
+    /// Calls the peer at this address and returns its response; `None` if the connection or the
+    /// call fails or times out.
     pub async fn call<T, F>(
         &self,
         address: &str,
@@ -70,7 +70,7 @@
         self.clients.lock().len()
     }
 
-    /// Whether there are no open connections.
+    /// Returns whether there are no open connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/daemon/src/view/host_list.rs
+++ b/crates/daemon/src/view/host_list.rs
@@ -76,11 +76,11 @@
 async fn read_from_store_or_seeds(view: &Arc<View>) -> Option<HostList> {
     let is_known = view.hosts.load().is_read();
     let asked_at = view.fleet.base.clock.now();
-    let is_away = view.fleet.connectivity.is_store_away(asked_at);
+    let is_store_unavailable = view.fleet.connectivity.is_store_unavailable(asked_at);
     let waits_for_peers = view.fleet.store_read_policy().startup_wait() > 0;
-    if (is_known && waits_for_peers) || is_away {
+    if (is_known && waits_for_peers) || is_store_unavailable {
         let fetched = fetch_from_seed_peers(view).await;
-        if fetched.is_some() || is_away {
+        if fetched.is_some() || is_store_unavailable {
             return fetched;
         }
     }
@@ -119,7 +119,7 @@
     view.fleet.members.lock().check_store_reader(&view.fleet.base.cfg.hall, count)
 }
 
-/// Returns the host list of the first of these peers that answers; none if it is the known one
+/// Returns the host list of the first of these peers that answers; `None` if it is the known one
 /// or no peer answers.
 async fn fetch_from_peers(view: &Arc<View>, peers: &[Peer]) -> Option<HostList> {
     for peer in peers {
@@ -134,7 +134,7 @@
 /// Error: a peer did not answer in time.
 struct NoAnswer;
 
-/// Returns the host list of the peer at this address; none if it is the known one.
+/// Returns the host list of the peer at this address; `None` if it is the known one.
 async fn fetch_from_peer(view: &Arc<View>, address: &str) -> Result<Option<HostList>, NoAnswer> {
     let known = view.hosts.load().hash;
     let timeout = Duration::from_millis(view.fleet.base.cfg.limits.peer_timeout_ms);
@@ -187,17 +187,17 @@
         self.hash != 0
     }
 
-    /// Whether the store, asked at `since` or later, listed exactly this row.
+    /// Returns whether the store, asked at `since` or later, listed exactly this row.
     pub fn contains_since(&self, host: &Host, since: i64) -> bool {
         self.read_at >= since && self.hosts.contains(host)
     }
 
-    /// Whether the list was read from the store at `since` or later.
+    /// Returns whether the list was read from the store at `since` or later.
     pub fn is_read_since(&self, since: i64) -> bool {
         self.is_read() && self.read_at >= since
     }
 
-    /// Returns the list for a peer that has the list with this `hash`; none if this list is the
+    /// Returns the list for a peer that has the list with this `hash`; `None` if this list is the
     /// same or was not read yet.
     pub fn unless_hash(&self, hash: u64, now: Millis) -> Option<HostListReply> {
         let is_new = self.is_read() && self.hash != hash;
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -1,16 +1,17 @@
-//! Tables for proofs.
+//! Tables for the tests.
 
 use bankcoved::auth::hash_key;
 use serde_json::{Value, json};
 
-/// The model of every proof.
+/// The model of every test.
 pub const MODEL: &str = "dispatch-8b";
 
-/// The workspace's key in every proof.
-pub const KEY: &str = "key-of-the-proof";
+/// The workspace's API key in every test.
+pub const API_KEY: &str = "key-of-the-proof";
 
-/// A table with one workspace, budget and hall, and these servers.
-pub fn table(engines: &[String], services: &[String], tokens: u64) -> Value {
+/// Returns a table with one workspace, one budget and one hall, and with servers at these
+/// addresses.
+pub fn table_with_servers(engines: &[String], services: &[String], tokens: u64) -> Value {
     let engine = |(n, address): (usize, &String)| {
         json!({
             "name": format!("engine-{n}"), "hall": "hall-1", "address": address,
@@ -36,7 +37,7 @@
     json!({
         "halls": [{"name": "hall-1"}],
         "workspaces": [
-            {"name": "dispatch", "keys_sha256": [hash_key(KEY)], "default_budget": "main"},
+            {"name": "dispatch", "keys_sha256": [hash_key(API_KEY)], "default_budget": "main"},
         ],
         "budgets": [{"name": "main", "workspace": "dispatch", "tokens": tokens}],
         "servers": servers,
