--- a/crates/core/src/holder/ration.rs
+++ b/crates/core/src/holder/ration.rs
@@ -46,13 +46,13 @@
         &self,
         budget: &Name,
         demand: &RequestDemand,
-        is_store_away: bool,
+        is_store_unavailable: bool,
         now: Millis,
     ) -> Tokens {
         let Some(account) = self.accounts.get(budget) else { return Tokens::MAX };
         let Some(outlook) = account.outlook else { return Tokens::MAX };
         let free = account.free();
-        let left = if is_store_away { free * OUTAGE_FACTOR } else { outlook.left + free };
+        let left = if is_store_unavailable { free * OUTAGE_FACTOR } else { outlook.left + free };
         self.equal_share(account, left, demand, now)
     }
 
--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -117,7 +117,7 @@
         }
         Err(_) => return Err(SendError::Unknown),
     };
-    observe_response(api, &choice, sent_at, &res);
+    record_response_hints(api, &choice, sent_at, &res);
     // Only refusals of engines are trusted: the body of a plain service can contain anything.
     if kind == ServerKind::Service || res.status() != StatusCode::SERVICE_UNAVAILABLE {
         return Ok(res);
@@ -132,8 +132,8 @@
 }
 
 /// Records the signals in the head of a response.
-fn observe_response(api: &Api, choice: &Choice, sent_at: Millis, res: &Response) {
-    api.requests.hints.observe(
+fn record_response_hints(api: &Api, choice: &Choice, sent_at: Millis, res: &Response) {
+    api.requests.hints.record_response(
         &api.requests.base.log,
         &choice.instance(),
         sent_at,
@@ -142,8 +142,12 @@
 }
 
 /// Records the signals in the response to a control call, which has no rate limit header.
-fn observe_control_response(api: &Api, choice: &Choice, res: &Response) {
-    api.requests.hints.observe_closed(&api.requests.base.log, &choice.instance(), &read_hints(res));
+fn record_control_response_hints(api: &Api, choice: &Choice, res: &Response) {
+    api.requests.hints.record_control_response(
+        &api.requests.base.log,
+        &choice.instance(),
+        &read_hints(res),
+    );
 }
 
 /// Reads the signals of a server from the head of its response.
@@ -174,7 +178,7 @@
     let url = format!("http://{}/v1/runs/{run_id}/stream", choice.address);
     let req = api.http.get(url).query(&[("offset", offset.to_string().as_str()), ("model", model)]);
     let res = req.send().await.ok()?;
-    observe_response(api, &choice, sent_at, &res);
+    record_response_hints(api, &choice, sent_at, &res);
     res.status().is_success().then_some(res)
 }
 
@@ -182,7 +186,7 @@
 pub async fn cancel_run(api: &Api, choice: &Choice, run_id: &str) -> Option<CancelledRun> {
     let url = format!("http://{}/v1/runs/{run_id}/cancel", choice.address);
     let res = api.http.post(url).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
-    observe_control_response(api, choice, &res);
+    record_control_response_hints(api, choice, &res);
     res.error_for_status().ok()?.json().await.ok()
 }
 
@@ -196,7 +200,7 @@
     let sent_at = api.requests.base.clock.now();
     let url = format!("http://{}/v1/tokenize", choice.address);
     let res = api.http.post(url).json(body).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
-    observe_response(api, &choice, sent_at, &res);
+    record_response_hints(api, &choice, sent_at, &res);
     let count: Count = res.error_for_status().ok()?.json().await.ok()?;
     Some(count.count)
 }
@@ -239,6 +243,6 @@
 async fn fetch_load_report(api: &Api, choice: &Choice) -> Option<LoadReport> {
     let url = format!("http://{}/v1/load", choice.address);
     let res = api.http.get(url).timeout(CONTROL_CALL_TIMEOUT).send().await.ok()?;
-    observe_control_response(api, choice, &res);
+    record_control_response_hints(api, choice, &res);
     res.error_for_status().ok()?.json().await.ok()
 }
--- a/crates/daemon/src/budget/budgets.rs
+++ b/crates/daemon/src/budget/budgets.rs
@@ -60,7 +60,7 @@
     prefetches: Mutex<HashMap<Name, Prefetch>>,
     /// Holders that did not answer a collection, with the time until which they are skipped.
     pub unresponsive: Mutex<HashMap<Incarnation, Millis>>,
-    marks: Mutex<WitnessRecords>,
+    witness_records: Mutex<WitnessRecords>,
 }
 
 impl Budgets {
@@ -84,7 +84,7 @@
             last_short_draws: Mutex::new(HashMap::new()),
             prefetches: Mutex::new(HashMap::new()),
             unresponsive: Mutex::new(HashMap::new()),
-            marks: Mutex::new(WitnessRecords::default()),
+            witness_records: Mutex::new(WitnessRecords::default()),
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Locks and returns the records that this daemon keeps as a witness for other holders.
-    pub fn marks(&self) -> parking_lot::MutexGuard<'_, WitnessRecords> {
-        self.marks.lock()
+    pub fn witness_records(&self) -> parking_lot::MutexGuard<'_, WitnessRecords> {
+        self.witness_records.lock()
     }
 }
--- a/crates/daemon/src/budget/collect.rs
+++ b/crates/daemon/src/budget/collect.rs
@@ -76,7 +76,11 @@
 }
 
 /// Collects the free tokens of a budget from the listed holders and from other likely holders.
-pub async fn gather(budgets: Arc<Budgets>, budget: Name, listed: Vec<HolderRef>) -> Event {
+pub async fn collect_free_tokens(
+    budgets: Arc<Budgets>,
+    budget: Name,
+    listed: Vec<HolderRef>,
+) -> Event {
     let holders = add_unlisted_holders(&budgets, &budget, listed);
     if budgets.holder().sealed(&budget) > 0 {
         open(&budgets, &budget, Tokens::MAX).await;
@@ -89,7 +93,7 @@
     };
     let skipped = holders.iter().any(|holder| unresponsive.contains(&holder.incarnation));
     let asked = holders.iter().filter(|holder| !unresponsive.contains(&holder.incarnation));
-    let answers = join_all(asked.map(|holder| gather_from(&budgets, &budget, holder)));
+    let answers = join_all(asked.map(|holder| collect_from_holder(&budgets, &budget, holder)));
     let answers = answers.await;
     let more_elsewhere = answers.iter().any(|more| *more);
     let (free, reserved) = {
@@ -132,7 +136,7 @@
 }
 
 /// Collects from one holder; returns whether a later collection may yield more from it.
-async fn gather_from(budgets: &Arc<Budgets>, budget: &Name, holder: &HolderRef) -> bool {
+async fn collect_from_holder(budgets: &Arc<Budgets>, budget: &Name, holder: &HolderRef) -> bool {
     let (own_incarnation, incarnation) = (budgets.fleet.base.incarnation, holder.incarnation);
     let received = budgets.holder().received_from(budget, incarnation);
     let timeout = Duration::from_millis(budgets.fleet.base.cfg.limits.gather_timeout_ms);
@@ -170,7 +174,7 @@
         let (gone, witness_incarnation, closed_budget) =
             (holder.incarnation, witness.incarnation, budget.clone());
         let opened = if witness_incarnation == budgets.fleet.base.incarnation {
-            Some(budgets.marks().close(gone, budget))
+            Some(budgets.witness_records().close(gone, budget))
         } else {
             let call = |client: PeerServiceClient, cx| async move {
                 client.close(cx, gone, witness_incarnation, closed_budget).await
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -11,7 +11,7 @@
 
 use crate::base::task_channel::{PendingReplies, send_after, send_result};
 use crate::budget::budgets::Budgets;
-use crate::budget::collect::gather;
+use crate::budget::collect::collect_free_tokens;
 use crate::budget::owner_tasks::{Message, OwnerDump};
 use crate::budget::terms::draw_terms;
 use crate::peer::OwnerAnswer;
@@ -125,7 +125,10 @@
                     );
                 }
                 Command::Collect(budget, holders) => {
-                    send_result(&self.tx, event(gather(Arc::clone(budgets), budget, holders)));
+                    send_result(
+                        &self.tx,
+                        event(collect_free_tokens(Arc::clone(budgets), budget, holders)),
+                    );
                 }
                 Command::Reply(ticket, reply) => {
                     self.pending_replies.answer(ticket, OwnerAnswer { reply, sent: None });
--- a/crates/daemon/src/crashes/gossip.rs
+++ b/crates/daemon/src/crashes/gossip.rs
@@ -86,7 +86,7 @@
     }
 
     /// Drops expired crashes, blocks and clearances.
-    pub fn forget_old(&self) {
+    pub fn remove_expired(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
             self.change(now, |tracker| tracker.remove_expired(now));
--- a/crates/daemon/src/entry/admission.rs
+++ b/crates/daemon/src/entry/admission.rs
@@ -50,7 +50,7 @@
 /// Reserves the maximum cost of the request; without a prompt or a budget it costs nothing.
 async fn reserve_charge(call: &Call) -> Result<Charge, Refusal> {
     let requests = &call.entry.requests;
-    let (Some(prompt), Some(budget)) = (&call.incoming.prompt, &call.plan.budget) else {
+    let (Some(prompt), Some(budget)) = (&call.request_head.prompt, &call.plan.budget) else {
         return Ok(Charge::new(requests, &call.log, None, 0, 0));
     };
     let tokens_per_event = call.plan.tokens_per_event;
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -98,11 +98,11 @@
     };
     call.attempts_sent += 1;
     let head = entry.wire.read_response(res.status(), res.headers());
-    let is_foreign = head.id.as_ref().is_some_and(|id| *id != call.incoming.id);
+    let is_foreign = head.id.as_ref().is_some_and(|id| *id != call.request_head.id);
     // Signals count only from this start of the server: another program, or another start, may
     // answer at its address.
     if !is_foreign && (head.is_signed || head.unrun == Some(NotRunReason::Full)) {
-        entry.requests.hints.observe(&call.log, &choice.instance(), sent_at, &head.hints);
+        entry.requests.hints.record_response(&call.log, &choice.instance(), sent_at, &head.hints);
     }
     if let Some(unrun) = head.unrun {
         charge.record_not_run(may_have_run_before);
--- a/crates/daemon/src/entry/call.rs
+++ b/crates/daemon/src/entry/call.rs
@@ -40,7 +40,7 @@
     /// Logger that adds the request's id.
     pub log: Logger,
     /// Parsed headers.
-    pub incoming: RequestHead,
+    pub request_head: RequestHead,
     /// Rows of the table that apply to it.
     pub plan: Plan,
     /// Method.
@@ -93,12 +93,12 @@
 
     /// Returns the length of its prompt in tokens; 0 without a prompt.
     pub fn prompt_tokens(&self) -> Tokens {
-        self.incoming.prompt.as_ref().map_or(0, |prompt| prompt.input_tokens)
+        self.request_head.prompt.as_ref().map_or(0, |prompt| prompt.input_tokens)
     }
 
     /// Returns whether copying the cache of its shared prompt parts is faster than reading them.
     fn is_worth_copying(&self) -> bool {
-        let shared = self.incoming.prompt.as_ref().map_or(0, Prompt::shared_tokens);
+        let shared = self.request_head.prompt.as_ref().map_or(0, Prompt::shared_tokens);
         shared >= MIN_COPIED_TOKENS
     }
 
@@ -234,7 +234,7 @@
 
     /// Returns the hash that selects the preferred server: `seed` for a request without a prompt.
     fn affinity_or(&self, seed: u64) -> u64 {
-        self.incoming.prompt.as_ref().map_or(seed, affinity)
+        self.request_head.prompt.as_ref().map_or(seed, affinity)
     }
 
     /// Returns the request to send to this server. `resume_after` is the last event that the
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -43,7 +43,7 @@
                 break;
             }
         };
-        let resume_after = call.incoming.resume_after;
+        let resume_after = call.request_head.resume_after;
         match attempt(&mut call, &mut charge, permit, resume_after).await {
             AttemptOutcome::StreamStarted(res, open_request, choice) => {
                 let status = res.status();
--- a/crates/daemon/src/entry/link_reservation.rs
+++ b/crates/daemon/src/entry/link_reservation.rs
@@ -35,10 +35,10 @@
     pub fn reserve(
         entry: &Arc<Entry>,
         plan: &Plan,
-        incoming: &RequestHead,
+        request_head: &RequestHead,
         body_bytes: usize,
     ) -> Option<Self> {
-        let expected = expected_traffic(plan, incoming, body_bytes);
+        let expected = expected_traffic(plan, request_head, body_bytes);
         let rank = plan.rank();
         let now = entry.requests.base.clock.now();
         let mut link = entry.link.lock();
@@ -69,8 +69,8 @@
 }
 
 /// Returns the traffic that a request and its answer are expected to send.
-fn expected_traffic(plan: &Plan, incoming: &RequestHead, body_bytes: usize) -> Traffic {
-    let events = incoming.prompt.as_ref().map(|prompt| {
+fn expected_traffic(plan: &Plan, request_head: &RequestHead, body_bytes: usize) -> Traffic {
+    let events = request_head.prompt.as_ref().map(|prompt| {
         let max_events = prompt.output_limit.div_ceil(plan.tokens_per_event.max(1));
         max_events.div_ceil(MAX_TO_EXPECTED_EVENTS)
     });
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -46,14 +46,15 @@
         table: &Arc<Table>,
         host: &str,
         path: &str,
-        incoming: &RequestHead,
+        request_head: &RequestHead,
     ) -> Result<Self, Refusal> {
         let route = table.route_for_host(host, path).ok_or(Refusal::NoRoute)?;
-        let workspace = find_workspace(table, route, incoming)?;
+        let workspace = find_workspace(table, route, request_head)?;
         let RouteTarget::Host { split, .. } = &route.target else {
             return Err(Refusal::NoRoute);
         };
-        let service = select_share(split, &incoming.id).ok_or(Refusal::NoRoute)?.service.clone();
+        let service =
+            select_share(split, &request_head.id).ok_or(Refusal::NoRoute)?.service.clone();
         let engine = table.service(&service).and_then(|row| row.engine.as_ref());
         let budget = workspace.and_then(|row| table.budget(&row.default_budget));
         Ok(Plan {
@@ -73,9 +74,9 @@
     }
 
     /// Returns a conservative estimate of the time that the request takes.
-    pub fn expected_time(&self, incoming: &RequestHead) -> Duration {
+    pub fn expected_time(&self, request_head: &RequestHead) -> Duration {
         let time_to_start = Duration::from_millis(self.route.goal_ms * GOAL_FACTOR);
-        let tokens = incoming.prompt.as_ref().map_or(0, |prompt| prompt.output_limit);
+        let tokens = request_head.prompt.as_ref().map_or(0, |prompt| prompt.output_limit);
         time_to_start + TIME_PER_TOKEN * tokens.try_into().unwrap_or(u32::MAX)
     }
 
@@ -90,10 +91,11 @@
 fn find_workspace<'a>(
     table: &'a Table,
     route: &Route,
-    incoming: &RequestHead,
+    request_head: &RequestHead,
 ) -> Result<Option<&'a Workspace>, Refusal> {
     let has_workspaces = !table.workspaces.is_empty();
-    let workspace = incoming.key.as_ref().and_then(|key| table.workspace_by_key(&hash_key(key)));
+    let workspace =
+        request_head.key.as_ref().and_then(|key| table.workspace_by_key(&hash_key(key)));
     if workspace.is_none() && has_workspaces && !route.public {
         return Err(Refusal::UnknownKey);
     }
--- a/crates/daemon/src/entry/relay.rs
+++ b/crates/daemon/src/entry/relay.rs
@@ -55,7 +55,7 @@
     ) -> Self {
         let is_framed = crashes::is_framed(res.headers());
         let body = res.into_body();
-        let sequence = EventSequence::after(call.incoming.resume_after);
+        let sequence = EventSequence::after(call.request_head.resume_after);
         let pace = PaceMeter::started_before(Duration::from_millis(call.age_ms()));
         let splitter = EventSplitter::default();
         Relay { call, charge, body, is_framed, open_request, choice, splitter, sequence, pace }
@@ -198,7 +198,7 @@
         slog::info!(self.call.log, "stream came";
             "route" => %self.call.plan.route.name, "server" => %self.choice.server,
             "first_ms" => first_ms, "longest_pause_ms" => pause_ms,
-            "prompt_tokens" => self.call.incoming.prompt.as_ref().map(|prompt| prompt.input_tokens));
+            "prompt_tokens" => self.call.request_head.prompt.as_ref().map(|prompt| prompt.input_tokens));
     }
 
     /// Logs and counts the aborted stream; returns the error that aborts the answer.
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -84,32 +84,32 @@
     let requests = &entry.requests;
     let arrived_at = requests.base.clock.now();
     let path = req.uri().path().to_owned();
-    let log_refusal = |refusal: Refusal, incoming: Option<&RequestHead>| {
+    let log_refusal = |refusal: Refusal, request_head: Option<&RequestHead>| {
         requests.base.metrics.count(&format!("refused.{}", refusal.code()));
         slog::info!(requests.base.log, "request refused";
-            "request" => incoming.map(|incoming| incoming.id.clone()), "code" => refusal.code(),
+            "request" => request_head.map(|request_head| request_head.id.clone()), "code" => refusal.code(),
             "why" => %refusal, "table" => requests.revision(),
             "retry_after_ms" => refusal.retry_after().map(|after| after.as_millis() as u64),
-            "path" => &path, "tokens" => incoming.and_then(|incoming| incoming.prompt.as_ref())
+            "path" => &path, "tokens" => request_head.and_then(|request_head| request_head.prompt.as_ref())
                 .map(|prompt| prompt.input_tokens + prompt.output_limit),
             "store_heard_ms" => requests.fleet.connectivity.store_age(requests.base.clock.now()),
             "age_ms" => requests.base.clock.now() - arrived_at);
         refusal
     };
-    let incoming = entry.wire.read_request(req.headers());
-    let incoming = incoming.map_err(|e| log_refusal(e.into(), None))?;
-    let read = read_call(entry, req, incoming.clone(), arrived_at).await;
-    let call = read.map_err(|refusal| log_refusal(refusal, Some(&incoming)))?;
+    let request_head = entry.wire.read_request(req.headers());
+    let request_head = request_head.map_err(|e| log_refusal(e.into(), None))?;
+    let read = read_call(entry, req, request_head.clone(), arrived_at).await;
+    let call = read.map_err(|refusal| log_refusal(refusal, Some(&request_head)))?;
     let admitted = AdmittedCall::admit(call).await;
-    let admitted = admitted.map_err(|refusal| log_refusal(refusal, Some(&incoming)))?;
-    forward(admitted).await.map_err(|refusal| log_refusal(refusal, Some(&incoming)))
+    let admitted = admitted.map_err(|refusal| log_refusal(refusal, Some(&request_head)))?;
+    forward(admitted).await.map_err(|refusal| log_refusal(refusal, Some(&request_head)))
 }
 
 /// Looks up the request in the table, reads its body and reserves its traffic on the link.
 async fn read_call(
     entry: &Arc<Entry>,
     req: &mut Request,
-    incoming: RequestHead,
+    request_head: RequestHead,
     arrived_at: Millis,
 ) -> Result<Call, Refusal> {
     let requests = &entry.requests;
@@ -120,30 +120,30 @@
     let table = table.ok_or_else(|| Refusal::NoTable(no_table_retry_delay(requests)))?;
     let host = req.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-    let plan = Plan::find(&table, host, req.uri().path(), &incoming)?;
+    let plan = Plan::find(&table, host, req.uri().path(), &request_head)?;
     let host = Name::from(host);
     let expected_end =
-        requests.base.clock.now() + plan.expected_time(&incoming).as_millis() as Millis;
+        requests.base.clock.now() + plan.expected_time(&request_head).as_millis() as Millis;
     if requests.latest_end.lock().is_some_and(|last_end| expected_end > last_end) {
         return Err(Refusal::Stopping);
     }
     let path = req.uri().path_and_query().cloned();
     let body = read_body(table.caller_limits, &requests.base.cfg.limits, req).await?;
-    let link =
-        LinkReservation::reserve(entry, &plan, &incoming, body.len()).ok_or(Refusal::LinkFull)?;
-    let patience = incoming.timeout.unwrap_or(Duration::MAX);
+    let link = LinkReservation::reserve(entry, &plan, &request_head, body.len())
+        .ok_or(Refusal::LinkFull)?;
+    let caller_timeout = request_head.timeout.unwrap_or(Duration::MAX);
     let route_deadline = Duration::from_millis(plan.route.deadline_ms);
     Ok(Call {
         entry: Arc::clone(entry),
-        log: requests.base.log.new(o!("request" => incoming.id.clone())),
+        log: requests.base.log.new(o!("request" => request_head.id.clone())),
         method: req.method().clone(),
         host,
         path: path.unwrap_or_else(|| PathAndQuery::from_static("/")),
         headers: req.headers().clone(),
         body,
         arrived_at,
-        deadline: arrived_at + patience.min(route_deadline).as_millis() as Millis,
-        incoming,
+        deadline: arrived_at + caller_timeout.min(route_deadline).as_millis() as Millis,
+        request_head,
         plan,
         tried_servers: Vec::new(),
         attempts_sent: 0,
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,15 +1,15 @@
 //! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` acquires the permit that each request to a server needs, `observe` records response
+//! `permit` acquires the permit that each request to a server needs, `record` records response
 //! headers and facts from peers, `issue` issues permits to peers, and `gossip` exchanges facts with
 //! peers. This module may call peers and use the state of the fleet and of the servers. It is
 //! called by `api`, `entry`, `membership` and `peer_server`.
 
 pub mod gossip;
 mod issue;
-pub mod observe;
 pub mod permit;
+pub mod record;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -151,7 +151,7 @@
     }
 
     /// Drops signals of servers that are no longer listed, lifted limits and rests that have ended.
-    pub fn forget_old(&self) {
+    pub fn remove_expired(&self) {
         self.membership_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
--- a/crates/daemon/src/hints/observe.rs
+++ b/crates/daemon/src/hints/record.rs
@@ -31,40 +31,45 @@
 impl Hints {
     /// Records the signals of a response of this start of a server to a request that was sent at
     /// `sent_at`. `log` adds the request's id.
-    pub fn observe(
+    pub fn record_response(
         &self,
         log: &Logger,
         server: &ServerInstance,
         sent_at: Millis,
         hints: &ServerHints,
     ) {
-        self.observe_limit(server, sent_at, &hints.limit);
-        self.observe_closed(log, server, hints);
+        self.record_limit(server, sent_at, &hints.limit);
+        self.record_control_response(log, server, hints);
     }
 
     /// Records only whether the server is leaving or asks for rest. For responses to calls other
     /// than callers' requests, which announce no limit.
-    pub fn observe_closed(&self, log: &Logger, server: &ServerInstance, hints: &ServerHints) {
+    pub fn record_control_response(
+        &self,
+        log: &Logger,
+        server: &ServerInstance,
+        hints: &ServerHints,
+    ) {
         match &hints.leaving {
             Hint::Absent => {}
-            Hint::Given(()) => self.observe_leaving(server),
+            Hint::Given(()) => self.record_leaving(server),
             Hint::Unreadable(text) => self.log_unreadable(server, "leaving", text),
         }
         match &hints.rest {
             Hint::Absent => {}
-            Hint::Given(rest_ms) => self.observe_rest(log, server, *rest_ms),
+            Hint::Given(rest_ms) => self.record_rest(log, server, *rest_ms),
             Hint::Unreadable(text) => self.log_unreadable(server, "rest", text),
         }
     }
 
-    fn observe_leaving(&self, server: &ServerInstance) {
+    fn record_leaving(&self, server: &ServerInstance) {
         let now = self.fleet.base.clock.now();
         if let Some(fact) = self.change_closed(|router| router.record_leaving(now, server)) {
             self.apply_leaving(fact, Origin::Server);
         }
     }
 
-    fn observe_rest(&self, log: &Logger, server: &ServerInstance, rest_ms: Millis) {
+    fn record_rest(&self, log: &Logger, server: &ServerInstance, rest_ms: Millis) {
         let now = self.fleet.base.clock.now();
         if !self.change_closed(|router| router.record_rest(now, server, rest_ms)) {
             return;
@@ -74,7 +79,7 @@
             "server" => %server.name, "started_ms" => server.started_ms, "rest_ms" => rest_ms);
     }
 
-    fn observe_limit(&self, server: &ServerInstance, sent_at: Millis, header: &LimitHeader) {
+    fn record_limit(&self, server: &ServerInstance, sent_at: Millis, header: &LimitHeader) {
         if let LimitHeader::Unreadable(text) = header {
             self.log_unreadable(server, "limit", text);
         }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -201,8 +201,8 @@
             .router
             .lock()
             .remove_expired_unread_reports(membership.fleet.base.clock.now());
-        membership.crashes.forget_old();
-        membership.hints.forget_old();
+        membership.crashes.remove_expired();
+        membership.hints.remove_expired();
         send_round(&membership).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
--- a/crates/daemon/src/operator/dump.rs
+++ b/crates/daemon/src/operator/dump.rs
@@ -66,7 +66,7 @@
         "limits": daemon.hints.dump(),
         "crashes": daemon.crashes.facts(),
         "crashes_remembered": daemon.crashes.stats(),
-        "marks_kept_for_others": daemon.budgets.marks().len(),
+        "marks_kept_for_others": daemon.budgets.witness_records().len(),
         "peer_connections": daemon.peers.len(),
     })
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -134,7 +134,7 @@
         opened: Tokens,
     ) -> bool {
         let is_current = witness == self.daemon.incarnation;
-        is_current && self.daemon.budgets.marks().open(holder, &budget, opened)
+        is_current && self.daemon.budgets.witness_records().open(holder, &budget, opened)
     }
 
     async fn close(
@@ -145,7 +145,7 @@
         budget: Name,
     ) -> Option<Tokens> {
         let is_current = witness == self.daemon.incarnation;
-        is_current.then(|| self.daemon.budgets.marks().close(holder, &budget))
+        is_current.then(|| self.daemon.budgets.witness_records().close(holder, &budget))
     }
 
     async fn submit(self, _: Context, entry: Entry) -> Outcome {
--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -72,7 +72,7 @@
     async fn read_object(&self, kind: Kind, name: &str) -> Result<Option<Versioned<Value>>> {
         let req = self.http.get(self.object_url(kind, name)).timeout(CALL_TIMEOUT);
         let res = req.send().await.map_err(|e| self.unavailable(&e))?;
-        self.object(res).await
+        self.parse_object(res).await
     }
 
     async fn watch_object(
@@ -89,7 +89,7 @@
         if res.status() == StatusCode::NO_CONTENT {
             return Ok(WatchResult { version: after, changed: None });
         }
-        let changed = self.object(res).await?;
+        let changed = self.parse_object(res).await?;
         let version = changed.as_ref().map_or(after, |read| read.version);
         Ok(WatchResult { version, changed })
     }
@@ -120,23 +120,23 @@
     async fn read_greatest_name(&self, kind: Kind) -> Result<Option<String>> {
         let url = format!("http://{}/v1/objects/{}", self.address, kind.path());
         let req = self.http.get(url).query(&[("order", "descending"), ("limit", "1")]);
-        let page: ListPage = self.json(req).await?;
+        let page: ListPage = self.fetch_json(req).await?;
         Ok(page.names.into_iter().next())
     }
 
     async fn list_hosts(&self) -> Result<Hosts> {
         let req = self.http.get(format!("http://{}/v1/hosts", self.address));
-        let answer: HostsAnswer = self.json(req).await?;
+        let answer: HostsAnswer = self.fetch_json(req).await?;
         Ok(Hosts { hosts: answer.hosts, unreadable: Vec::new() })
     }
 
-    async fn json<T: DeserializeOwned>(&self, req: reqwest::RequestBuilder) -> Result<T> {
+    async fn fetch_json<T: DeserializeOwned>(&self, req: reqwest::RequestBuilder) -> Result<T> {
         let res = req.timeout(CALL_TIMEOUT).send().await.map_err(|e| self.unavailable(&e))?;
         let res = res.error_for_status().map_err(|e| self.unavailable(&e))?;
         res.json().await.map_err(|e| self.unavailable(&e))
     }
 
-    async fn object(&self, res: Response) -> Result<Option<Versioned<Value>>> {
+    async fn parse_object(&self, res: Response) -> Result<Option<Versioned<Value>>> {
         if res.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
--- a/crates/proofs/src/caller.rs
+++ b/crates/proofs/src/caller.rs
@@ -39,9 +39,9 @@
     /// Idempotency key of the request.
     pub key: String,
     /// The daemon's id of the attempt.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// Id of the run that produced the response.
-    pub run: Option<String>,
+    pub run_id: Option<String>,
     /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
@@ -141,25 +141,25 @@
         }
         let mut attempt = Attempt {
             key: request.key.clone(),
-            attempt: None,
-            run: None,
+            attempt_id: None,
+            run_id: None,
             outcome: unknown_outcome("no answer"),
         };
         let res = match req.send().await {
             Ok(res) => res,
             Err(e) if e.is_connect() => {
-                attempt.outcome = not_run("connection_refused", None);
+                attempt.outcome = not_run_outcome("connection_refused", None);
                 return attempt;
             }
             Err(_) => return attempt,
         };
-        attempt.attempt = attempt_header(&res);
+        attempt.attempt_id = attempt_header(&res);
         let is_ok = res.status().is_success();
         let Some(body) = read_body(res).await else {
             attempt.outcome = unknown_outcome("connection broken");
             return attempt;
         };
-        let (outcome, run) = if !is_ok {
+        let (outcome, run_id) = if !is_ok {
             (parse_error_body(&serde_json::from_str(&body).unwrap_or_default()), None)
         } else if request.stream {
             parse_stream(&body)
@@ -167,7 +167,7 @@
             parse_completion(&serde_json::from_str(&body).unwrap_or_default())
         };
         attempt.outcome = outcome;
-        attempt.run = run;
+        attempt.run_id = run_id;
         attempt
     }
 
@@ -205,8 +205,8 @@
         let req = req.header("idempotency-key", key).timeout(timeout).body(body.to_owned());
         let res = req.send().await.ok()?;
         let status = res.status().as_u16();
-        let attempt = attempt_header(&res);
-        Some(ServiceResponse { status, attempt, body: res.json().await.ok()? })
+        let attempt_id = attempt_header(&res);
+        Some(ServiceResponse { status, attempt_id, body: res.json().await.ok()? })
     }
 }
 
@@ -229,7 +229,7 @@
     /// HTTP status.
     pub status: u16,
     /// The daemon's id of the attempt.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// Body of the response.
     pub body: Value,
 }
@@ -243,7 +243,7 @@
     AttemptOutcome::Unknown { code: code.to_owned() }
 }
 
-fn not_run(code: &str, retry_after_ms: Option<u64>) -> AttemptOutcome {
+fn not_run_outcome(code: &str, retry_after_ms: Option<u64>) -> AttemptOutcome {
     AttemptOutcome::NotRun { code: code.to_owned(), retry_after_ms }
 }
 
@@ -252,7 +252,7 @@
     let error = &body["error"];
     let code = error["code"].as_str().unwrap_or("unreadable");
     match error["outcome"].as_str() {
-        Some("not_run") => not_run(code, error["retry_after_ms"].as_u64()),
+        Some("not_run") => not_run_outcome(code, error["retry_after_ms"].as_u64()),
         _ => unknown_outcome(code),
     }
 }
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -83,14 +83,14 @@
 
 /// Checks that every complete response contains all tokens of its own run in order, and returns
 /// the number of complete responses.
-pub fn complete_answers(attempts: &[Attempt]) -> Result<usize, Violation> {
+pub fn responses_complete(attempts: &[Attempt]) -> Result<usize, Violation> {
     let mut complete = 0;
     for attempt in attempts {
         let AttemptOutcome::Done { text, output_tokens } = &attempt.outcome else { continue };
-        let Some(run) = &attempt.run else {
+        let Some(run_id) = &attempt.run_id else {
             return Err(format!("the response to '{}' has no run id", attempt.key));
         };
-        let expected: String = (0..*output_tokens).map(|n| token_text(run, n)).collect();
+        let expected: String = (0..*output_tokens).map(|n| token_text(run_id, n)).collect();
         if *text != expected {
             return Err(format!(
                 "the response to '{}' is '{text}', expected '{expected}'",
@@ -119,7 +119,7 @@
     for attempt in attempts {
         let AttemptOutcome::NotRun { code, .. } = &attempt.outcome else { continue };
         not_run_count += 1;
-        if attempt.attempt.as_deref().is_some_and(|id| ran.contains(id)) {
+        if attempt.attempt_id.as_deref().is_some_and(|id| ran.contains(id)) {
             return Err(format!("'{}' was answered not run ({code}) but ran", attempt.key));
         }
     }
--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -329,7 +329,7 @@
 
     /// Returns all runs of the engines that are still running. The runs of a killed engine are
     /// lost with it, so checks of them can only be too lenient.
-    pub async fn live_runs(&mut self) -> Vec<RunRecord> {
+    pub async fn engine_runs(&mut self) -> Vec<RunRecord> {
         let mut runs = Vec::new();
         for engine in &mut self.engines {
             if !engine.process.has_exited() {
--- a/crates/proofs/src/process.rs
+++ b/crates/proofs/src/process.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 /// Port below the first one of a fleet.
-const FIRST_PORT: u16 = 20_000;
+const PORT_BASE: u16 = 20_000;
 
 /// A child process, which is killed when dropped.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct LoopbackAddresses {
     ip: Ipv4Addr,
-    next_port: u16,
+    last_port: u16,
 }
 
 impl LoopbackAddresses {
@@ -51,13 +51,13 @@
         // 127.0.*.* is left to other programs.
         let second = 1 + high % 250;
         let last = 1 + (fleet % 250) as u8;
-        LoopbackAddresses { ip: Ipv4Addr::new(127, second, low, last), next_port: FIRST_PORT }
+        LoopbackAddresses { ip: Ipv4Addr::new(127, second, low, last), last_port: PORT_BASE }
     }
 
     /// Returns an unused address.
     pub fn next_address(&mut self) -> String {
-        self.next_port += 1;
-        format!("{}:{}", self.ip, self.next_port)
+        self.last_port += 1;
+        format!("{}:{}", self.ip, self.last_port)
     }
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Suspends the process with SIGSTOP.
-    pub fn pause(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
--- a/crates/proofs/src/scenario.rs
+++ b/crates/proofs/src/scenario.rs
@@ -190,7 +190,7 @@
         let order: Vec<String> =
             (0..targets.len()).map(|i| targets[(first + i) % targets.len()].clone()).collect();
         if kind < 0.15 {
-            attempts.extend(post_order_twice(&caller, &order, &key).await);
+            attempts.extend(post_twice(&caller, &order, &key).await);
             continue;
         }
         let mut request =
@@ -208,7 +208,7 @@
 
 /// Sends an order for the plain service, which must not be repeated, to two daemons at the same
 /// time. Returns both attempts.
-async fn post_order_twice(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
+async fn post_twice(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
     let body = format!("order {key}");
     let post = |daemon: &String| {
         let daemon = daemon.clone();
@@ -216,12 +216,12 @@
         async move { caller.post(&daemon, "/orders/new", &key, &body, ATTEMPT_TIMEOUT).await }
     };
     let (first, second) = tokio::join!(post(&daemons[0]), post(&daemons[1 % daemons.len()]));
-    [first, second].into_iter().map(|response| order_attempt(key, response)).collect()
+    [first, second].into_iter().map(|response| service_attempt(key, response)).collect()
 }
 
 /// Returns the attempt of an order. An accepted order counts as unknown, because its response has
 /// no tokens to check.
-fn order_attempt(key: &str, response: Option<ServiceResponse>) -> Attempt {
+fn service_attempt(key: &str, response: Option<ServiceResponse>) -> Attempt {
     let outcome = match &response {
         None => AttemptOutcome::Unknown { code: "no answer".to_owned() },
         Some(ServiceResponse { status: 201, .. }) => {
@@ -229,15 +229,15 @@
         }
         Some(response) => parse_error_body(&response.body),
     };
-    let attempt = response.and_then(|response| response.attempt);
-    Attempt { key: key.to_owned(), attempt, run: None, outcome }
+    let attempt_id = response.and_then(|response| response.attempt_id);
+    Attempt { key: key.to_owned(), attempt_id, run_id: None, outcome }
 }
 
 /// Injects a fault, at `daemon` if it concerns a daemon.
 async fn begin_fault(fleet: &mut Fleet, fault: Fault, daemon: usize) {
     match fault {
         Fault::KillDaemon => fleet.daemons[daemon].process.kill(),
-        Fault::FreezeDaemon => fleet.daemons[daemon].process.pause(),
+        Fault::FreezeDaemon => fleet.daemons[daemon].process.suspend(),
         Fault::CutPeers => fleet.daemons[daemon].peer_link.cut(),
         Fault::CutStore => fleet.daemons[daemon].store_link.cut(),
         Fault::CutStoreAnswers => fleet.daemons[daemon].store_link.cut_from_target(true),
@@ -328,7 +328,7 @@
     attempts: &[Attempt],
     budget: u64,
 ) -> Result<Report, Violation> {
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     let calls = fleet.service_calls().await;
     let writes = fleet.store_writes().await;
     let bills = check::bills(&segments(&writes));
@@ -336,7 +336,7 @@
     let spent = check::spend_within_budget(&runs, calls.len() as u64 * CALL_TOKENS, budget)?;
     check::grants_within_budgets(&shards(&writes))?;
     check::billed_once(attempts, &bills, request_of)?;
-    let done = check::complete_answers(attempts)?;
+    let done = check::responses_complete(attempts)?;
     let not_run = check::not_run_never_executed(attempts, &runs, &calls)?;
     let once_calls = check::at_most_once(calls.iter().map(|call| call.run.as_str()))?;
     let claimed = check::claimed_requests(&segments(&writes));
--- a/crates/proofs/tests/checkers.rs
+++ b/crates/proofs/tests/checkers.rs
@@ -27,8 +27,8 @@
 }
 
 fn attempt(key: &str, outcome: AttemptOutcome) -> Attempt {
-    let run = Some("run-1".to_owned());
-    Attempt { key: key.to_owned(), attempt: Some("a-1".to_owned()), run, outcome }
+    let (attempt_id, run_id) = (Some("a-1".to_owned()), Some("run-1".to_owned()));
+    Attempt { key: key.to_owned(), attempt_id, run_id, outcome }
 }
 
 fn done(text: &str, output_tokens: u64) -> AttemptOutcome {
@@ -75,14 +75,14 @@
 #[test]
 fn a_gap_a_duplicate_and_a_foreign_chunk_are_found() {
     let complete = "run-1:0 run-1:1 ";
-    assert_eq!(check::complete_answers(&[attempt("k", done(complete, 2))]), Ok(1));
+    assert_eq!(check::responses_complete(&[attempt("k", done(complete, 2))]), Ok(1));
     for bad in ["run-1:1 ", "run-1:0 run-1:0 run-1:1 ", "run-1:0 other:1 ", "run-1:0 "] {
-        assert!(check::complete_answers(&[attempt("k", done(bad, 2))]).is_err(), "{bad}");
+        assert!(check::responses_complete(&[attempt("k", done(bad, 2))]).is_err(), "{bad}");
     }
 }
 
 #[test]
-fn a_not_run_that_ran_is_found() {
+fn an_attempt_answered_not_run_that_ran_is_found() {
     let outcome = [attempt("k", not_run())];
     assert_eq!(check::not_run_never_executed(&outcome, &[run("a-2", 1)], &[]), Ok(1));
     assert!(check::not_run_never_executed(&outcome, &[run("a-1", 1)], &[]).is_err());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_second_run_is_found() {
+fn a_repeated_run_id_is_found() {
     assert_eq!(check::at_most_once(["a", "b"].into_iter()), Ok(2));
     assert!(check::at_most_once(["a", "b", "a"].into_iter()).is_err());
 }
--- a/crates/proofs/tests/operations.rs
+++ b/crates/proofs/tests/operations.rs
@@ -140,7 +140,7 @@
     let fleet = Fleet::start(&FleetConfig { daemons: 3, ..FleetConfig::default() }).await;
     fleet.daemons[2].store_link.cut();
     fleet.daemons[2].peer_link.cut();
-    fleet.daemons[1].process.pause();
+    fleet.daemons[1].process.suspend();
     let output = fleet.run_cli(0, &["row", "set", "halls", "hall-1", "weight=3"]);
     assert!(output.status.success());
     let newest = revision(&fleet, 0).await;
@@ -182,13 +182,13 @@
     }
     let before = runs_at(&fleet, 0).await;
     let attempts = send_all(&fleet, "after", 30).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(30), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(30), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let mut streams = Vec::new();
     for stream in streaming {
         streams.push(stream.await.expect("the caller does not panic"));
     }
-    assert_eq!(check::complete_answers(&streams), Ok(12), "{streams:?}");
+    assert_eq!(check::responses_complete(&streams), Ok(12), "{streams:?}");
     run_accepted(&fleet, 1, &["undrain", "engine-0"]);
 }
 
@@ -212,14 +212,14 @@
     wait_for_revision(&fleet, 1, revision(&fleet, 0).await).await;
     let before = runs_at(&fleet, 0).await;
     let attempts = send_all(&fleet, "evacuated", 20).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
     let stream = streaming.await.expect("the caller does not panic");
-    assert_eq!(check::complete_answers(&[stream]), Ok(1));
+    assert_eq!(check::responses_complete(&[stream]), Ok(1));
     run_accepted(&fleet, 1, &["reopen", "hall-1"]);
     wait_for_revision(&fleet, 0, revision(&fleet, 1).await).await;
     let attempts = send_all(&fleet, "reopened", 40).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(40), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(40), "{attempts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -240,7 +240,7 @@
     }
     let before = runs_at(&fleet, 0).await;
     let attempts = send_all(&fleet, "listed", 20).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, before);
 }
 
@@ -268,7 +268,7 @@
     };
     assert!(order(1_000, true).await.expect("the engine answers").status().is_success());
     let attempts = send_all(&fleet, "own-word", 20).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(20), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(20), "{attempts:?}");
     assert_eq!(runs_at(&fleet, 0).await, 0);
     let stale = order(999, false).await.expect("the engine answers");
     assert_eq!(stale.status(), reqwest::StatusCode::CONFLICT);
@@ -305,7 +305,7 @@
     })
     .await;
     let attempts = send_all(&fleet, "before", 4).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(4), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(4), "{attempts:?}");
     fleet.daemons[0].store_link.cut();
     fleet.daemons[0].peer_link.cut();
     fleet.daemons[1].peer_link.cut();
@@ -318,7 +318,7 @@
     let AttemptOutcome::NotRun { code, .. } = &attempt.outcome else { panic!("{attempt:?}") };
     assert_eq!(code, "no_server");
     assert_eq!(runs_at(&fleet, 0).await, before);
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     assert!(check::not_run_never_executed(&[attempt], &runs, &[]).is_ok());
 }
 
@@ -345,7 +345,7 @@
     let interrupted: Vec<_> =
         attempts.iter().filter(|a| matches!(a.outcome, AttemptOutcome::Unknown { .. })).collect();
     assert!(interrupted.is_empty(), "{interrupted:?}");
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     assert!(check::not_run_never_executed(&attempts, &runs, &[]).is_ok());
     for daemon in 0..3 {
         fleet.daemons[daemon].process.terminate();
@@ -392,7 +392,7 @@
     let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let last = shards.last().and_then(|shard| shard.budgets.values().next());
     let last = last.expect("the budget was written");
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     let ran: u64 = runs.iter().map(|run| run.prompt_tokens + run.output_tokens).sum();
     assert!(last.grants.is_empty(), "{last:?}");
     assert_eq!(last.retired, ran as i64);
--- a/crates/proofs/tests/path.rs
+++ b/crates/proofs/tests/path.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_goes_through_and_is_billed() {
+async fn streamed_and_unstreamed_responses_are_complete_and_billed_once() {
     let fleet = Fleet::start(&FleetConfig { services: 1, ..FleetConfig::default() }).await;
     let caller = Caller::default();
     let daemon = &fleet.daemons[0].caller_address;
@@ -21,7 +21,7 @@
             "{attempt:?}"
         );
     }
-    assert_eq!(check::complete_answers(&attempts), Ok(2));
+    assert_eq!(check::responses_complete(&attempts), Ok(2));
     let bills = check::bills(&segments(&fleet.store_writes().await));
     let request_of = |key: &str| RequestHash::of(&Name::from("dispatch"), key);
     assert_eq!(check::billed_once(&attempts, &bills, request_of), Ok(()));
@@ -66,7 +66,7 @@
         );
         assert_eq!(response["error"]["outcome"], "not_run");
     }
-    assert!(fleet.live_runs().await.is_empty());
+    assert!(fleet.engine_runs().await.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/proofs/tests/requests.rs
+++ b/crates/proofs/tests/requests.rs
@@ -36,7 +36,7 @@
 /// Waits until at least `count` runs have ended.
 async fn wait_until_runs_ended(fleet: &mut Fleet, count: usize) {
     for _ in 0..2_000 {
-        let runs = fleet.live_runs().await;
+        let runs = fleet.engine_runs().await;
         if runs.iter().filter(|run| run.ended).count() >= count {
             return;
         }
@@ -86,7 +86,7 @@
         }
     }
     wait_until_idle(&fleet, 1).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(REQUESTS), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(REQUESTS), "{attempts:?}");
     let bills = check::bills(&segments(&fleet.store_writes().await));
     assert_eq!(check::billed_once(&attempts, &bills, request_of), Ok(()));
     assert_eq!(bills.len(), REQUESTS);
@@ -101,7 +101,7 @@
         let request = ChatRequest::new(format!("lost-{n}")).non_repeatable();
         attempts.push(Caller::default().chat(&addresses(&fleet)[n % 2], &request).await);
     }
-    assert_eq!(check::complete_answers(&attempts), Ok(6), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(6), "{attempts:?}");
     let bills = check::bills(&segments(&fleet.store_writes().await));
     assert_eq!(check::billed_once(&attempts, &bills, request_of), Ok(()));
 }
@@ -128,7 +128,7 @@
         Caller::default().post(&first, "/orders/7", "order-7", "two seats", timeout).await
     });
     tokio::time::sleep(Duration::from_millis(freeze_after_ms)).await;
-    fleet.daemons[0].process.pause();
+    fleet.daemons[0].process.suspend();
     let mut attempts = Caller::default().chat_until_done(&targets[1..], &request, 4).await;
     for _ in 0..3 {
         Caller::default().post(&targets[1], "/orders/7", "order-7", "two seats", timeout).await;
@@ -139,7 +139,7 @@
     fleet.store.set_faults(Faults::default()).await;
     wait_until_idle(&fleet, 0).await;
     wait_until_idle(&fleet, 1).await;
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     let calls = fleet.service_calls().await;
     assert!(runs.len() <= 1, "{runs:?}");
     assert!(calls.len() <= 1, "{calls:?}");
@@ -175,7 +175,7 @@
             .count();
         assert_eq!((done, ordered), (1, 1), "{results:?}");
     }
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     assert_eq!(check::at_most_once(runs.iter().map(|run| run.run.as_str())), Ok(5));
     let calls = fleet.service_calls().await;
     assert_eq!(check::at_most_once(calls.iter().map(|call| call.run.as_str())), Ok(5));
@@ -194,8 +194,8 @@
     let broken = sent.await.expect("the caller does not panic");
     assert!(matches!(broken.outcome, AttemptOutcome::Unknown { .. }), "{broken:?}");
     let attempts = Caller::default().chat_until_done(&targets[1..], &request, 3).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(1), "{attempts:?}");
-    let runs = fleet.live_runs().await;
+    assert_eq!(check::responses_complete(&attempts), Ok(1), "{attempts:?}");
+    let runs = fleet.engine_runs().await;
     assert_eq!(runs.len(), 1, "{runs:?}");
     assert_eq!(runs[0].attached.len(), 1);
 }
@@ -213,7 +213,7 @@
     let disconnected = Caller::default().chat(&addresses(&fleet)[0], &complete).await;
     assert!(matches!(disconnected.outcome, AttemptOutcome::Unknown { .. }), "{disconnected:?}");
     wait_until_idle(&fleet, 0).await;
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     let bills = check::bills(&segments(&fleet.store_writes().await));
     assert_eq!((runs.len(), bills.len()), (2, 2));
     assert!(runs.iter().all(|run| run.cancelled && run.output_tokens < 200), "{runs:?}");
@@ -241,7 +241,7 @@
         assert_eq!(code, "budget_short");
         assert!(retry_after_ms.is_some());
     }
-    assert!(fleet.live_runs().await.is_empty());
+    assert!(fleet.engine_runs().await.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -257,7 +257,7 @@
             Caller::default().chat(&targets[n % 3], &ChatRequest::new(format!("away-{n}"))).await,
         );
     }
-    assert_eq!(check::complete_answers(&attempts), Ok(7), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(7), "{attempts:?}");
     fleet.store.set_faults(Faults::default()).await;
     for index in 0..3 {
         wait_until_idle(&fleet, index).await;
@@ -303,11 +303,11 @@
         }
     }
     wait_until_idle(&fleet, 0).await;
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     let spent = check::spend_within_budget(&runs, 0, 2_000).expect("no overspend");
     // An equal share of four daemons is 500: the killed daemon lost far less than that.
     assert!(spent > 1_700, "{spent} of 2000 tokens were spent: {:?}", attempts.last());
-    assert_eq!(check::complete_answers(&attempts), Ok(attempts.len() - 1));
+    assert_eq!(check::responses_complete(&attempts), Ok(attempts.len() - 1));
 }
 
 #[parameterized(
@@ -325,7 +325,7 @@
         Caller::default().chat(target, &ChatRequest::new(format!("own-{n}")).max_tokens(12)).await
     });
     let attempts = futures::future::join_all(requests).await;
-    assert_eq!(check::complete_answers(&attempts), Ok(8), "{attempts:?}");
+    assert_eq!(check::responses_complete(&attempts), Ok(8), "{attempts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -347,7 +347,7 @@
         assert_eq!(attempt.outcome, AttemptOutcome::Unknown { code: "deadline".to_owned() });
     }
     wait_until_idle(&fleet, 0).await;
-    let runs = fleet.live_runs().await;
+    let runs = fleet.engine_runs().await;
     assert!(runs.len() == 2 && runs.iter().all(|run| run.cancelled), "{runs:?}");
     assert!(check::not_run_never_executed(&attempts, &runs, &[]).is_ok());
     assert_eq!(check::bills(&segments(&fleet.store_writes().await)).len(), 2);
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -5,7 +5,7 @@
 //! instead of running again; `x-attempt` identifies the daemon's attempt. Response header:
 //! `x-run` is `new` or `attached`.
 
-mod answer;
+mod response;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 use serde_json::{Value, json};
 use tokio::sync::{Notify, Semaphore, mpsc};
 
-pub use answer::token_text;
-use answer::{complete_answer, send_stream};
+pub use response::token_text;
+use response::{complete_response, send_stream};
 
 use crate::faults::Faults;
 use crate::serve::{MAX_BODY_BYTES, RunningStandIn};
@@ -218,7 +218,7 @@
         return;
     }
     run.wait_for_tokens_after(u64::MAX).await;
-    res.render(Json(complete_answer(&run, &body.model)));
+    res.render(Json(complete_response(&run, &body.model)));
 }
 
 /// Streams an existing run from `offset` on; never starts a run.
@@ -262,10 +262,10 @@
         if state.leaving {
             return None;
         }
-        let run_name =
+        let id =
             if run_id.is_empty() { format!("run-{}", state.runs.len()) } else { run_id.to_owned() };
         let record = RunRecord {
-            run: run_name.clone(),
+            run: id.clone(),
             attempt: attempt.to_owned(),
             attached: Vec::new(),
             prompt_tokens: prompt_tokens(&body.messages),
@@ -282,7 +282,7 @@
         });
         let record = Mutex::new(record);
         let run = Arc::new(Run { record, limit, crashes, changed: Notify::new() });
-        state.runs.insert(run_name, Arc::clone(&run));
+        state.runs.insert(id, Arc::clone(&run));
         state.history.push(Arc::clone(&run));
         state.waiting += 1;
         Some((run, true))
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/response.rs
@@ -80,7 +80,7 @@
 }
 
 /// Returns the body of a response that is not streamed.
-pub(super) fn complete_answer(run: &Run, model: &str) -> Value {
+pub(super) fn complete_response(run: &Run, model: &str) -> Value {
     let record = run.record.lock();
     let text: String = (0..record.output_tokens).map(|i| token_text(&record.run, i)).collect();
     let message = json!({"role": "assistant", "content": text});
