--- a/crates/daemon/src/api/backend.rs
+++ b/crates/daemon/src/api/backend.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Records the signals in the head of a response.
+/// Records the hints in the head of a response.
 fn record_response_hints(api: &Api, choice: &Choice, sent_at: Millis, res: &Response) {
     api.requests.hints.record_response(
         &api.requests.base.log,
@@ -141,7 +141,7 @@
     );
 }
 
-/// Records the signals in the response to a control call, which has no rate limit header.
+/// Records the hints in the response to a control call, which has no rate limit header.
 fn record_control_response_hints(api: &Api, choice: &Choice, res: &Response) {
     api.requests.hints.record_control_response(
         &api.requests.base.log,
@@ -150,7 +150,7 @@
     );
 }
 
-/// Reads the signals of a server from the head of its response.
+/// Reads the hints of a server from the head of its response.
 fn read_hints(res: &Response) -> ServerHints {
     let values = |name| {
         let values = res.headers().get_all(name).iter();
--- a/crates/daemon/src/crashes/gossip.rs
+++ b/crates/daemon/src/crashes/gossip.rs
@@ -85,7 +85,7 @@
         self.digest.load(Ordering::Relaxed)
     }
 
-    /// Drops expired crashes, blocks and clearances.
+    /// Removes expired crashes, blocks and clearances.
     pub fn remove_expired(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -48,7 +48,7 @@
             ProbeResult::Accepted => return false,
             ProbeResult::NoAnswer => {}
         }
-        // The server is gone from the list, or another start of it is listed.
+        // The server is gone from the list, or another instance of it is listed.
         if !crashes.router.lock().is_current_instance(&server.name, server.started_ms) {
             return true;
         }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -56,7 +56,7 @@
     pub peers: Arc<PeerPool>,
     /// Crashes of backend servers, and the requests that they were running.
     pub crashes: Arc<Crashes>,
-    /// Signals of backend servers, and the permits derived from their limits.
+    /// Hints of backend servers, and the permits derived from their limits.
     pub hints: Arc<Hints>,
     /// Heartbeats and the state sent with them.
     pub membership: Arc<Membership>,
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -99,15 +99,15 @@
     call.attempts_sent += 1;
     let head = entry.wire.read_response(res.status(), res.headers());
     let is_foreign = head.id.as_ref().is_some_and(|id| *id != call.request_head.id);
-    // Signals count only from this start of the server: another program, or another start, may
-    // answer at its address.
+    // Hints count only from this instance of the server: another program, or another instance,
+    // may answer at its address.
     if !is_foreign && (head.is_signed || head.unrun == Some(NotRunReason::Full)) {
         entry.requests.hints.record_response(&call.log, &choice.instance(), sent_at, &head.hints);
     }
     if let Some(unrun) = head.unrun {
         charge.record_not_run(may_have_run_before);
         if unrun == NotRunReason::OtherInstance {
-            // That start of the server is gone, even if the server list, which lags, still has it.
+            // That instance of the server is gone, even if the server list, which lags, still has it.
             let now = entry.requests.base.clock.now();
             entry.requests.router.lock().record_leaving_refusal(
                 now,
--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,4 +1,4 @@
-//! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
+//! Hints of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
 //! `permit` acquires the permit that each request to a server needs, `record` records response
@@ -34,7 +34,7 @@
 /// rest concerns the requests of one daemon only, so the rates of several daemons don't add up.
 const RETRIES_PER_RESTING_SERVER_S: f64 = 20.0;
 
-/// Signals of servers as known to this daemon. Leaving and resting servers are recorded in the
+/// Hints of servers as known to this daemon. Leaving and resting servers are recorded in the
 /// router.
 #[derive(Debug)]
 pub struct Hints {
@@ -67,7 +67,7 @@
 }
 
 impl Hints {
-    /// Creates the state without any signals.
+    /// Creates the state without any hints.
     pub fn new(fleet: Fleet, router: Arc<Mutex<Router>>) -> Self {
         let (fact_queue, fact_receiver) = mpsc::channel(FACT_QUEUE_CAPACITY);
         Hints {
@@ -150,7 +150,7 @@
         membership.1
     }
 
-    /// Drops signals of servers that are no longer listed, lifted limits and rests that have ended.
+    /// Removes hints of servers that are no longer listed, lifted limits and rests that have ended.
     pub fn remove_expired(&self) {
         self.membership_since();
         let now = self.fleet.base.clock.now();
--- a/crates/daemon/src/hints/gossip.rs
+++ b/crates/daemon/src/hints/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of signals of servers with peers: new facts are sent at once, and all facts are fetched
+//! Exchange of hints of servers with peers: new facts are sent at once, and all facts are fetched
 //! from a peer whose heartbeat has a different digest, as after a start or a network partition.
 
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 /// those.
 const FANOUT: usize = 10;
 
-/// Time for which facts are collected into one message: many servers may send signals at the same
+/// Time for which facts are collected into one message: many servers may send hints at the same
 /// time.
 const BATCH_WINDOW: Duration = Duration::from_millis(20);
 
--- a/crates/daemon/src/hints/record.rs
+++ b/crates/daemon/src/hints/record.rs
@@ -1,4 +1,4 @@
-//! Records the signals in response headers of servers, and merges those received from peers.
+//! Records the hints in response headers of servers, and merges those received from peers.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +10,7 @@
 
 use crate::hints::Hints;
 
-/// Origin of a signal.
+/// Origin of a hint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// The server itself.
@@ -29,7 +29,7 @@
 }
 
 impl Hints {
-    /// Records the signals of a response of this start of a server to a request that was sent at
+    /// Records the hints in a response of this instance of a server to a request that was sent at
     /// `sent_at`. `log` adds the request's id.
     pub fn record_response(
         &self,
@@ -42,8 +42,8 @@
         self.record_control_response(log, server, hints);
     }
 
-    /// Records only whether the server is leaving or asks for rest. For responses to calls other
-    /// than callers' requests, which announce no limit.
+    /// Records only whether the server is leaving or asks for rest: the response to a control call
+    /// announces no limit.
     pub fn record_control_response(
         &self,
         log: &Logger,
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -55,7 +55,7 @@
     pub view: Arc<View>,
     /// Crash state of this daemon.
     pub crashes: Arc<Crashes>,
-    /// Signals of backend servers.
+    /// Hints of backend servers.
     pub hints: Arc<Hints>,
     /// Notified when the number of prompt tokens that servers still have to read for this daemon
     /// has changed.
--- a/crates/daemon/src/peer/protocol.rs
+++ b/crates/daemon/src/peer/protocol.rs
@@ -147,9 +147,9 @@
     async fn told_crashes(facts: CrashFacts);
     /// Returns all crash facts known to the receiver.
     async fn crash_facts() -> CrashFacts;
-    /// Sends server signals, such as limits, that are new to the sender.
+    /// Sends server hints, such as limits, that are new to the sender.
     async fn told_hints(facts: Vec<HintFact>);
-    /// Returns the server signals known to the receiver; a part of them if there are many.
+    /// Returns the server hints known to the receiver; a part of them if there are many.
     async fn hint_facts() -> Vec<HintFact>;
     /// Requests permits for a server from the receiver. `fact` is the server's limit as known to
     /// the sender.
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -38,7 +38,7 @@
     pub budgets: Arc<Budgets>,
     /// Crashes of backend servers, and the requests that were running there.
     pub crashes: Arc<Crashes>,
-    /// Signals of backend servers, and the permits derived from their limits.
+    /// Hints of backend servers, and the permits derived from their limits.
     pub hints: Arc<Hints>,
     /// Notified when the unread prompt tokens that this daemon has sent to servers have changed.
     pub unread_changed: Arc<Notify>,
--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -19,7 +19,7 @@
 /// Timeout of a read or a write.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Timeout of connecting.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time that a watch may take beyond its requested wait.
--- a/crates/ports/src/objects.rs
+++ b/crates/ports/src/objects.rs
@@ -3,7 +3,7 @@
 /// Version of an object; 0 means that the object does not exist.
 pub type Version = u64;
 
-/// Digits of a segment's number: a fixed width makes names sort like the numbers.
+/// Number of digits in a segment's name: a fixed width makes names sort like the numbers.
 const SEGMENT_DIGITS: usize = 12;
 
 /// Kinds of objects that bankcove keeps in the platform's store.
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the name of the segment with this number.
+/// Returns the object name of the request log segment with this number.
 pub fn segment_name(number: u64) -> String {
     format!("{number:0width$}", width = SEGMENT_DIGITS)
 }
--- a/crates/ports/src/wire.rs
+++ b/crates/ports/src/wire.rs
@@ -63,7 +63,7 @@
 /// Data sent to a backend server in addition to the caller's headers.
 #[derive(Debug, Clone, Copy)]
 pub struct Dispatch<'a> {
-    /// Name of the intended start of the server; any other start refuses the request.
+    /// Name of the intended instance of the server; any other instance refuses the request.
     pub server: &'a Name,
     /// Workspace that is billed; `None` on a public route.
     pub workspace: Option<&'a Name>,
@@ -83,7 +83,7 @@
 pub enum NotRunReason {
     /// The server has no capacity, or no time left for the request.
     Full,
-    /// Another start of the server, or another server, has the address.
+    /// Another instance of the server, or another server, has the address.
     OtherInstance,
 }
 
@@ -94,11 +94,11 @@
     pub id: Option<String>,
     /// Reason why the server did not run the request, if it states that nothing ran.
     pub unrun: Option<NotRunReason>,
-    /// Whether the response carries the mark of responses that the server created itself.
+    /// Whether a header marks the response as created by the server itself.
     pub is_signed: bool,
     /// Whether the body has a content encoding, which no caller requests.
     pub is_encoded: bool,
-    /// Signals of the server about its own state.
+    /// Hints of the server about its own state.
     pub hints: ServerHints,
 }
 
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -21,7 +21,7 @@
             if ledger.committed() > ledger.total() as i64 {
                 let (committed, total) = (ledger.committed(), ledger.total());
                 return Err(format!(
-                    "{committed} tokens of budget '{name}' are granted, which has {total}"
+                    "{committed} tokens are granted of budget '{name}', which has {total}"
                 ));
             }
         }
--- a/crates/proofs/src/fleet.rs
+++ b/crates/proofs/src/fleet.rs
@@ -327,8 +327,8 @@
         }
     }
 
-    /// Returns all runs of the engines that are still running. The runs of a killed engine are
-    /// lost with it, so checks of them can only be too lenient.
+    /// Returns all runs, ended ones included, of the engines whose process is alive. The runs of a
+    /// killed engine are lost with it, so checks of them can only be too lenient.
     pub async fn engine_runs(&mut self) -> Vec<RunRecord> {
         let mut runs = Vec::new();
         for engine in &mut self.engines {
@@ -339,7 +339,7 @@
         runs
     }
 
-    /// Returns all calls received by the plain services.
+    /// Returns all calls that the plain services have received.
     pub async fn service_calls(&self) -> Vec<CallRecord> {
         let mut calls = Vec::new();
         for service in &self.services {
--- a/crates/proofs/src/process.rs
+++ b/crates/proofs/src/process.rs
@@ -11,7 +11,7 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// Port below the first one of a fleet.
+/// The ports of a fleet are numbered from the one after this.
 const PORT_BASE: u16 = 20_000;
 
 /// A child process, which is killed when dropped.
@@ -121,7 +121,7 @@
         self.signal(Signal::SIGCONT);
     }
 
-    /// Requests a planned stop with SIGTERM.
+    /// Requests a graceful shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
--- a/crates/proofs/src/scenario.rs
+++ b/crates/proofs/src/scenario.rs
@@ -31,6 +31,9 @@
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 6;
 
+/// Length of a request hash at the start of a run id, in hexadecimal digits.
+const REQUEST_HASH_DIGITS: usize = 32;
+
 /// Number of tokens of a top-up.
 const TOP_UP_TOKENS: u64 = 1_000;
 
@@ -65,7 +68,7 @@
     EngineMisdirects,
     /// An engine sends each chunk twice and breaks off streams.
     EngineRepeatsAndCuts,
-    /// A daemon is stopped with SIGTERM, and restarted.
+    /// A daemon is shut down gracefully with SIGTERM, and restarted.
     PlannedStop,
 }
 
@@ -93,7 +96,7 @@
 pub struct Scenario {
     /// Seed of the random choices of the load.
     pub seed: u64,
-    /// The faults; each affects another daemon if there are enough.
+    /// The faults; each affects a different daemon if there are enough.
     pub faults: Vec<Fault>,
     /// Tokens of the budget.
     pub tokens: u64,
@@ -206,8 +209,8 @@
     attempts
 }
 
-/// Sends an order for the plain service, which must not be repeated, to two daemons at the same
-/// time. Returns both attempts.
+/// Posts the same call to the plain service, which must not be repeated, through two daemons at the
+/// same time. Returns both attempts.
 async fn post_twice(caller: &Caller, daemons: &[String], key: &str) -> Vec<Attempt> {
     let body = format!("order {key}");
     let post = |daemon: &String| {
@@ -219,8 +222,8 @@
     [first, second].into_iter().map(|response| service_attempt(key, response)).collect()
 }
 
-/// Returns the attempt of an order. An accepted order counts as unknown, because its response has
-/// no tokens to check.
+/// Returns the attempt of a call to the plain service. An accepted call counts as unknown, because
+/// its response has no tokens to check.
 fn service_attempt(key: &str, response: Option<ServiceResponse>) -> Attempt {
     let outcome = match &response {
         None => AttemptOutcome::Unknown { code: "no answer".to_owned() },
@@ -277,7 +280,7 @@
     match fault {
         Fault::KillDaemon => fleet.restart_daemon(daemon).await,
         Fault::PlannedStop => {
-            assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
+            assert!(fleet.daemons[daemon].process.wait(), "a graceful shutdown exits with success");
             fleet.restart_daemon(daemon).await;
         }
         Fault::FreezeDaemon => fleet.daemons[daemon].process.resume(),
@@ -340,7 +343,7 @@
     let not_run = check::not_run_never_executed(attempts, &runs, &calls)?;
     let once_calls = check::at_most_once(calls.iter().map(|call| call.run.as_str()))?;
     let claimed = check::claimed_requests(&segments(&writes));
-    let once_runs = runs.iter().filter(|run| claimed.contains(&run.run[..32]));
+    let once_runs = runs.iter().filter(|run| claimed.contains(&run.run[..REQUEST_HASH_DIGITS]));
     let once_runs = check::at_most_once(once_runs.map(|run| run.run.as_str()))?;
     for index in 0..fleet.daemons.len() {
         check::revisions_increase(&fleet.log(index))?;
--- a/crates/proofs/src/table.rs
+++ b/crates/proofs/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables for the tests.
+//! The table that a fleet starts with, and the model and API key in it.
 
 use bankcoved::auth::hash_key;
 use serde_json::{Value, json};
--- a/crates/proofs/tests/crashes.rs
+++ b/crates/proofs/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! A request that crashes engines, tested with the real binaries over bankcove's own interface.
+//! A request that crashes each engine that runs it, and would crash all of them if it were sent
+//! often enough: tested with the real binaries over bankcove's own interface.
 
 use bankcove_proofs::caller::{Attempt, AttemptOutcome, Caller, ChatRequest};
 use bankcove_proofs::fleet::{Fleet, FleetConfig};
--- a/crates/proofs/tests/hints.rs
+++ b/crates/proofs/tests/hints.rs
@@ -1,5 +1,5 @@
-//! Servers that announce leaving or a retry time, tested with the real binaries over bankcove's own
-//! interface.
+//! Hints in response headers: a server that is leaving, or asks for rest until a retry time, gets no
+//! new requests. Tested with the real binaries over bankcove's own interface.
 
 use std::time::Duration;
 
--- a/crates/proofs/tests/limits.rs
+++ b/crates/proofs/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Servers that announce a request limit, tested with the real binaries over bankcove's own
-//! interface.
+//! Servers that announce a request limit, which all daemons together must not exceed: tested with
+//! the real binaries over bankcove's own interface.
 
 use std::time::Duration;
 
--- a/crates/proofs/tests/operations.rs
+++ b/crates/proofs/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Table edits, drains and planned stops under faults and races.
+//! Table edits, drains and graceful shutdowns under faults and races.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -122,6 +122,8 @@
     serde_json::from_value(value).expect("the stored value is a table")
 }
 
+/// Guards against an edit that is applied twice: during an outage its outcome is unknown, and the
+/// operator repeats it under the same change id.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edit_during_an_outage_counts_once() {
     let fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
@@ -295,6 +297,8 @@
     panic!("the engine was never ordered to leave");
 }
 
+/// Guards against a drained server that still gets requests: a daemon without contact to the store
+/// and its peers misses the drain, and a server that checks no orders runs what it is sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_isolated_daemon_sends_nothing_to_servers_that_check_no_orders() {
     let mut config =
@@ -322,6 +326,8 @@
     assert!(check::not_run_never_executed(&[attempt], &runs, &[]).is_ok());
 }
 
+/// Guards against requests that are cut off, and tokens that are lost, when each daemon is shut down
+/// gracefully in turn under load.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_stops_of_every_daemon_interrupt_no_request() {
     let config = FleetConfig { daemons: 3, engines: 2, step_ms: 15, ..FleetConfig::default() };
@@ -333,7 +339,7 @@
     for daemon in 0..3 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         fleet.daemons[daemon].process.terminate();
-        assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
+        assert!(fleet.daemons[daemon].process.wait(), "a graceful shutdown exits with success");
         fleet.restart_daemon(daemon).await;
         wait_for_revision(&fleet, daemon, 1).await;
     }
@@ -349,7 +355,7 @@
     assert!(check::not_run_never_executed(&attempts, &runs, &[]).is_ok());
     for daemon in 0..3 {
         fleet.daemons[daemon].process.terminate();
-        assert!(fleet.daemons[daemon].process.wait(), "a planned stop exits with success");
+        assert!(fleet.daemons[daemon].process.wait(), "a graceful shutdown exits with success");
     }
     let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let ledgers: Vec<_> = shards.iter().filter_map(|shard| shard.budgets.values().next()).collect();
@@ -387,7 +393,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.store.set_faults(Faults::default()).await;
     for daemon in &mut fleet.daemons {
-        assert!(daemon.process.wait(), "a planned stop exits with success");
+        assert!(daemon.process.wait(), "a graceful shutdown exits with success");
     }
     let shards = bankcove_proofs::fleet::shards(&fleet.store_writes().await);
     let last = shards.last().and_then(|shard| shard.budgets.values().next());
--- a/crates/proofs/tests/requests.rs
+++ b/crates/proofs/tests/requests.rs
@@ -45,6 +45,8 @@
     panic!("the runs never ended");
 }
 
+/// Guards against a missing or second bill: the daemon is killed at different times before, during
+/// and after billing, and the caller retries at another one. Each store call takes 300 ms.
 #[parameterized(
     before_the_runs = { None },
     as_the_runs_end = { Some(0) },
@@ -92,6 +94,8 @@
     assert_eq!(bills.len(), REQUESTS);
 }
 
+/// Guards against a missing or second bill, and against a claim that its own daemon takes for lost,
+/// when each write to the store takes effect but is answered with an error.
 #[tokio::test(flavor = "multi_thread")]
 async fn bills_and_claims_survive_lost_answers() {
     let fleet = Fleet::start(&FleetConfig { daemons: 2, ..FleetConfig::default() }).await;
@@ -106,6 +110,9 @@
     assert_eq!(check::billed_once(&attempts, &bills, request_of), Ok(()));
 }
 
+/// Guards against a request that runs twice: its daemon freezes, the caller retries at another one,
+/// and the frozen daemon then continues. Each store call takes 300 ms, so that the cases freeze it
+/// before, during and after the write of the claim.
 #[parameterized(
     early = { 20 },
     as_the_claim_is_written = { 150 },
@@ -282,6 +289,7 @@
     assert_eq!(check::billed_once(&[warm_up, attempt], &bills, request_of), Ok(()));
 }
 
+/// Guards against tokens that are lost with a killed daemon, although it never spent them.
 #[tokio::test(flavor = "multi_thread")]
 async fn unopened_tokens_of_a_killed_daemon_are_spent_by_the_others() {
     let mut fleet =
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a plain service: it accepts every call without checks, echoes it in the response
-//! and records it in its history.
+//! Stand-in for a plain service: it records every call in its history and echoes it in the
+//! response, without any checks of its own.
 
 use std::sync::Arc;
 
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -46,7 +46,7 @@
 struct State {
     /// Version and value of each object, by kind and name.
     objects: HashMap<String, BTreeMap<String, (u64, Value)>>,
-    /// All host lists that were set, with the time of each.
+    /// All host lists that were set, oldest first, with the time of each.
     hosts: Vec<(Instant, Vec<Host>)>,
     faults: Faults,
     counts: CallCounts,
