--- a/crates/daemon/src/hints.rs
+++ b/crates/daemon/src/hints.rs
@@ -1,15 +1,15 @@
-//! Signals of backend servers in their response headers (core `hints` and `limits`): that they are
+//! Hints of backend servers in their response headers (core `hints` and `limits`): that they are
 //! leaving, that they ask for rest, and their limits in requests per second.
 //!
-//! `permit` acquires the permit that each request to a server needs, `observe` records response
+//! `permit` acquires the permit that each request to a server needs, `record` records response
 //! headers and facts from peers, `issue` issues permits to peers, and `gossip` exchanges facts with
 //! peers. This module may call peers and use the state of the fleet and of the servers. It is
 //! called by `api`, `entry`, `membership` and `peer_server`.
 
 pub mod gossip;
 mod issue;
-pub mod observe;
 pub mod permit;
+pub mod record;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 /// rest concerns the requests of one daemon only, so the rates of several daemons don't add up.
 const RETRIES_PER_RESTING_SERVER_S: f64 = 20.0;
 
-/// Signals of servers as known to this daemon. Leaving and resting servers are recorded in the
+/// Hints of servers as known to this daemon. Leaving and resting servers are recorded in the
 /// router.
 #[derive(Debug)]
 pub struct Hints {
@@ -67,7 +67,7 @@
 }
 
 impl Hints {
-    /// Creates the state without any signals.
+    /// Creates the state without any hints.
     pub fn new(fleet: Fleet, router: Arc<Mutex<Router>>) -> Self {
         let (fact_queue, fact_receiver) = mpsc::channel(FACT_QUEUE_CAPACITY);
         Hints {
@@ -150,8 +150,8 @@
         membership.1
     }
 
-    /// Drops signals of servers that are no longer listed, lifted limits and rests that have ended.
-    pub fn forget_old(&self) {
+    /// Removes hints of servers that are no longer listed, lifted limits and rests that have ended.
+    pub fn remove_expired(&self) {
         self.membership_since();
         let now = self.fleet.base.clock.now();
         if self.has_closed.load(Ordering::Relaxed) {
