--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -4,13 +4,13 @@
 //! `cargo bench -p bankcove-bench --bench budgets` prints all results. They are counts of simulated
 //! runs from a seed, so they are reproducible exactly.
 
-use bankcove_bench::budget_load::{Failures, Load};
 use bankcove_bench::budget_policy::{POLICIES, Policy};
 use bankcove_bench::budget_simulation::{Outcome, Simulation};
+use bankcove_bench::budget_workload::{Failures, Workload};
 
 const SEED: u64 = 1;
 
-fn loads() -> Vec<Load> {
+fn workloads() -> Vec<Workload> {
     // A request costs at most about 350 tokens and on average 210, so 20 requests per second spend
     // about 250,000 tokens in a minute.
     let outage = Failures { store_outage: Some((15_000, 50_000)), ..Failures::default() };
@@ -20,17 +20,17 @@
         top_up: Some((20_000, 150_000)),
         ..Failures::default()
     };
-    let mut shifting = Load::new("demand shifts", 8, 260_000, 20.0);
+    let mut shifting = Workload::new("demand shifts", 8, 260_000, 20.0);
     shifting.shifting = true;
     vec![
-        Load::new("plenty", 8, 2_000_000, 20.0),
-        Load::new("runs out", 8, 150_000, 20.0),
-        Load::new("nearly gone", 8, 5_000, 20.0),
+        Workload::new("plenty", 8, 2_000_000, 20.0),
+        Workload::new("runs out", 8, 150_000, 20.0),
+        Workload::new("nearly gone", 8, 5_000, 20.0),
         shifting,
-        Load::new("outage, plenty", 8, 2_000_000, 20.0).with_failures(outage),
-        Load::new("outage, tight", 8, 260_000, 20.0).with_failures(outage),
-        Load::new("daemon killed", 8, 200_000, 20.0).with_failures(daemon_killed),
-        Load::new("top-up apart", 8, 110_000, 20.0).with_failures(partition),
+        Workload::new("outage, plenty", 8, 2_000_000, 20.0).with_failures(outage),
+        Workload::new("outage, tight", 8, 260_000, 20.0).with_failures(outage),
+        Workload::new("daemon killed", 8, 200_000, 20.0).with_failures(daemon_killed),
+        Workload::new("top-up apart", 8, 110_000, 20.0).with_failures(partition),
     ]
 }
 
@@ -52,11 +52,11 @@
     );
 }
 
-fn print_row(load: &Load, policy: Policy, outcome: &Outcome) {
-    let seconds = load.length_ms as f64 / 1000.0;
+fn print_row(workload: &Workload, policy: Policy, outcome: &Outcome) {
+    let seconds = workload.length_ms as f64 / 1000.0;
     println!(
         "{:<16} {:<17} {:>8} {:>8} {:>8.2} {:>8.2} {:>9} {:>8.2} {:>8.2} {:>8.2} {:>7.2} {:>8}",
-        load.name,
+        workload.name,
         format!("{policy:?}"),
         outcome.requests,
         outcome.refused,
@@ -74,9 +74,9 @@
 fn print_comparison() {
     println!("\n# Design and baselines, seed {SEED}\n");
     print_header();
-    for load in loads() {
+    for workload in workloads() {
         for policy in POLICIES {
-            print_row(&load, policy, &Simulation::run(policy, &load, SEED));
+            print_row(&workload, policy, &Simulation::run(policy, &workload, SEED));
         }
     }
 }
@@ -92,9 +92,9 @@
         for (tokens, share) in [("plenty", 10.0), ("runs out", 0.6)] {
             // A request spends about 210 tokens.
             let budget_tokens = (rate * 10.0 * 210.0 * share) as u64;
-            let mut load = Load::new("growth", daemons, budget_tokens, rate);
-            load.length_ms = 10_000;
-            let outcome = Simulation::run(Policy::Design, &load, SEED);
+            let mut workload = Workload::new("growth", daemons, budget_tokens, rate);
+            workload.length_ms = 10_000;
+            let outcome = Simulation::run(Policy::Design, &workload, SEED);
             assert_eq!(outcome.overspend, 0);
             println!(
                 "{daemons:>7} {tokens:>10} {:>9.2} {:>10.2} {:>14.3} {:>12} {:>8.2}",
@@ -116,10 +116,12 @@
     );
     for held_ahead in [0.0, 0.25, 0.5, 1.0] {
         let percent = |name: &str| {
-            let mut load =
-                loads().into_iter().find(|load| load.name == name).expect("the workload exists");
-            load.held_ahead = held_ahead;
-            Simulation::run(Policy::Design, &load, SEED).false_percent()
+            let mut workload = workloads()
+                .into_iter()
+                .find(|workload| workload.name == name)
+                .expect("the workload exists");
+            workload.held_ahead = held_ahead;
+            Simulation::run(Policy::Design, &workload, SEED).false_percent()
         };
         println!(
             "{held_ahead:>10} {:>14.2} {:>14.2} {:>14.2}",
@@ -137,9 +139,9 @@
         "budgets", "writes/s", "reads/s", "msgs/s", "shard bytes"
     );
     for budgets in [16, 64, 256, 1_024, 4_096] {
-        let mut load = Load::new("budgets", 32, 10_000_000, 128.0);
-        load.budgets = budgets;
-        let outcome = Simulation::run(Policy::Design, &load, SEED);
+        let mut workload = Workload::new("budgets", 32, 10_000_000, 128.0);
+        workload.budgets = budgets;
+        let outcome = Simulation::run(Policy::Design, &workload, SEED);
         println!(
             "{budgets:>8} {:>9.2} {:>9.2} {:>9.2} {:>12}",
             outcome.writes as f64 / 60.0,
--- a/crates/bench/src/budget_simulation.rs
+++ b/crates/bench/src/budget_simulation.rs
@@ -18,8 +18,8 @@
 use bankcove_core::witness::{Witness, WitnessRecords};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
-use crate::budget_load::{Arrival, Load};
 use crate::budget_policy::Policy;
+use crate::budget_workload::{Arrival, Workload};
 use crate::schedule::Schedule;
 
 /// Delay of a message between daemons, one way, in milliseconds.
@@ -89,7 +89,7 @@
 /// State of a run.
 pub struct Simulation {
     policy: Policy,
-    load: Load,
+    workload: Workload,
     schedule: Schedule<SimulationEvent>,
     now: Millis,
     budgets: Vec<Name>,
@@ -97,7 +97,7 @@
     stored: HashMap<u32, (u64, Shard)>,
     owners: HashMap<(usize, u32), Owner>,
     holders: Vec<Holder>,
-    witness_marks: Vec<WitnessRecords>,
+    witness_records: Vec<WitnessRecords>,
     /// Pending draws by ticket.
     pending_draws: HashMap<u64, PendingDraw>,
     /// Time of the last prefetch, by daemon and budget.
@@ -119,29 +119,29 @@
 
 impl Simulation {
     /// Runs the simulation of a workload with this policy.
-    pub fn run(policy: Policy, load: &Load, seed: u64) -> Outcome {
+    pub fn run(policy: Policy, workload: &Workload, seed: u64) -> Outcome {
         let budgets: Vec<Name> =
-            (0..load.budgets).map(|n| Name::from(format!("budget-{n}"))).collect();
+            (0..workload.budgets).map(|n| Name::from(format!("budget-{n}"))).collect();
         let mut simulation = Simulation {
             policy,
             schedule: Schedule::default(),
             now: 0,
             stored: HashMap::new(),
             owners: HashMap::new(),
-            holders: (0..load.daemons).map(|n| Holder::new(Incarnation(n as u64))).collect(),
-            witness_marks: vec![WitnessRecords::default(); load.daemons],
+            holders: (0..workload.daemons).map(|n| Holder::new(Incarnation(n as u64))).collect(),
+            witness_records: vec![WitnessRecords::default(); workload.daemons],
             pending_draws: HashMap::new(),
             prefetched_at: HashMap::new(),
             next_ticket: 0,
-            allowed: vec![load.tokens; load.budgets],
-            spent: vec![0; load.budgets],
-            reserved: vec![0; load.budgets],
-            versions: vec![0; load.budgets],
-            cached: vec![vec![0; load.budgets]; load.daemons],
+            allowed: vec![workload.tokens; workload.budgets],
+            spent: vec![0; workload.budgets],
+            reserved: vec![0; workload.budgets],
+            versions: vec![0; workload.budgets],
+            cached: vec![vec![0; workload.budgets]; workload.daemons],
             topped_up: HashSet::new(),
             outcome: Outcome::default(),
             budgets,
-            load: load.clone(),
+            workload: workload.clone(),
         };
         simulation.schedule_initial_events(seed);
         simulation.run_events();
@@ -149,22 +149,22 @@
     }
 
     fn schedule_initial_events(&mut self, seed: u64) {
-        for arrival in self.load.arrivals(seed) {
+        for arrival in self.workload.arrivals(seed) {
             self.schedule.at(arrival.at, SimulationEvent::RequestArrived(arrival));
         }
-        if let Some((at, tokens)) = self.load.failures.top_up {
+        if let Some((at, tokens)) = self.workload.failures.top_up {
             self.schedule.at(at, SimulationEvent::TopUp(tokens));
         }
-        if let Some(at) = self.load.failures.daemon_killed {
+        if let Some(at) = self.workload.failures.daemon_killed {
             self.schedule.at(at, SimulationEvent::DaemonKilled);
         }
         if self.policy == Policy::CachedSum {
-            for daemon in 0..self.load.daemons {
+            for daemon in 0..self.workload.daemons {
                 self.schedule.at(0, SimulationEvent::CacheRead { daemon });
             }
         }
         if self.policy == Policy::EqualSplit {
-            let part = self.load.tokens / self.load.daemons as u64;
+            let part = self.workload.tokens / self.workload.daemons as u64;
             for holder in &mut self.holders {
                 for budget in &self.budgets {
                     holder.record_granted(budget, part);
@@ -223,22 +223,23 @@
         let within = |span: Option<(Millis, Millis)>| {
             span.is_some_and(|(from, to)| (from..to).contains(&self.now))
         };
-        let is_partitioned = within(self.load.failures.partition) && self.is_in_upper_half(daemon);
-        !within(self.load.failures.store_outage) && !is_partitioned
+        let is_partitioned =
+            within(self.workload.failures.partition) && self.is_in_upper_half(daemon);
+        !within(self.workload.failures.store_outage) && !is_partitioned
     }
 
     /// Whether the daemon is among those that a partition separates from the store.
     fn is_in_upper_half(&self, daemon: usize) -> bool {
-        daemon >= self.load.daemons / 2
+        daemon >= self.workload.daemons / 2
     }
 
     fn is_killed(&self, daemon: usize) -> bool {
-        daemon == 1 && self.load.failures.daemon_killed.is_some_and(|at| self.now >= at)
+        daemon == 1 && self.workload.failures.daemon_killed.is_some_and(|at| self.now >= at)
     }
 
     /// Whether two daemons can reach each other now.
     fn can_reach(&self, one: usize, two: usize) -> bool {
-        let partition = self.load.failures.partition;
+        let partition = self.workload.failures.partition;
         let partition = partition.is_some_and(|(from, to)| (from..to).contains(&self.now));
         let is_separated = partition && self.is_in_upper_half(one) != self.is_in_upper_half(two);
         !is_separated && !self.is_killed(one) && !self.is_killed(two)
@@ -265,8 +266,8 @@
 }
 
 /// Returns the number of shards that the budgets of a workload belong to.
-pub fn shards_used(load: &Load) -> usize {
-    let names = (0..load.budgets).map(|n| Name::from(format!("budget-{n}")));
+pub fn shards_used(workload: &Workload) -> usize {
+    let names = (0..workload.budgets).map(|n| Name::from(format!("budget-{n}")));
     let shards: HashSet<u32> = names.map(|name| shard_of_budget(&name, BUDGET_SHARDS)).collect();
     shards.len().min(BUDGET_SHARDS as usize)
 }
--- a/crates/bench/src/budget_simulation/baseline.rs
+++ b/crates/bench/src/budget_simulation/baseline.rs
@@ -2,8 +2,8 @@
 
 use bankcove_core::Millis;
 
-use crate::budget_load::Arrival;
 use crate::budget_simulation::{MAX_DRAWS, STORE_CALL_MS, Simulation, SimulationEvent};
+use crate::budget_workload::Arrival;
 
 /// Time between two reads of [`Policy::CachedSum`], in milliseconds.
 const CACHE_REFRESH_MS: Millis = 1_000;
@@ -43,7 +43,7 @@
         if self.can_reach_store(daemon) {
             self.cached[daemon].clone_from(&self.spent);
         }
-        if self.now < self.load.length_ms {
+        if self.now < self.workload.length_ms {
             self.schedule.at(self.now + CACHE_REFRESH_MS, SimulationEvent::CacheRead { daemon });
         }
     }
--- a/crates/bench/src/budget_simulation/caller.rs
+++ b/crates/bench/src/budget_simulation/caller.rs
@@ -5,11 +5,11 @@
 use bankcove_core::shard::{BUDGET_SHARDS, shard_of_budget};
 use bankcove_core::{Incarnation, Millis, Name, Tokens};
 
-use crate::budget_load::Arrival;
 use crate::budget_policy::Policy;
 use crate::budget_simulation::{
     LINK_DELAY_MS, MAX_DRAWS, PendingDraw, Simulation, SimulationEvent, WaitingRequest,
 };
+use crate::budget_workload::Arrival;
 
 /// Shortest time between two prefetches of a daemon from a budget, in milliseconds, as in the
 /// daemon.
@@ -113,14 +113,14 @@
     /// Returns the terms of all draws.
     pub(super) fn terms(&self) -> DrawTerms {
         DrawTerms {
-            tokens: self.load.tokens,
+            tokens: self.workload.tokens,
             version: 1,
             horizon_s: 10.0,
-            share_divisor: self.load.share_divisor,
-            held_ahead: self.load.held_ahead,
+            share_divisor: self.workload.share_divisor,
+            held_ahead: self.workload.held_ahead,
             kept_for_others: 0.0,
             prefetch: PrefetchScope::ForItself,
-            daemons: self.load.daemons as u64,
+            daemons: self.workload.daemons as u64,
         }
     }
 
--- a/crates/bench/src/budget_simulation/owner.rs
+++ b/crates/bench/src/budget_simulation/owner.rs
@@ -16,8 +16,8 @@
     /// Returns the owner of a shard as seen by a daemon: the first one that it can reach, in an
     /// order that depends on the shard.
     pub(super) fn owner_of(&self, shard: u32, daemon: usize) -> usize {
-        let first = shard as usize * 7 % self.load.daemons;
-        let ranked = (0..self.load.daemons).map(|n| (first + n) % self.load.daemons);
+        let first = shard as usize * 7 % self.workload.daemons;
+        let ranked = (0..self.workload.daemons).map(|n| (first + n) % self.workload.daemons);
         let mut usable = ranked.filter(|owner| self.can_reach(daemon, *owner));
         usable.next().unwrap_or(daemon)
     }
@@ -75,7 +75,7 @@
 
     /// Returns the witnesses of a holder: the next two daemons that it can reach.
     pub(super) fn witnesses(&self, daemon: usize) -> Vec<Witness> {
-        let count = self.load.daemons;
+        let count = self.workload.daemons;
         let others = (1..count).map(|n| (daemon + n) % count);
         let reachable = others.filter(|other| self.can_reach(daemon, *other));
         let witness = |n: usize| Witness {
@@ -94,7 +94,7 @@
         self.outcome.messages += 2 * opening.witnesses.len() as u64;
         let agreed = opening.witnesses.iter().all(|witness| {
             let n = witness.incarnation.0 as usize;
-            self.can_reach(daemon, n) && self.witness_marks[n].open(me, budget, opening.opened)
+            self.can_reach(daemon, n) && self.witness_records[n].open(me, budget, opening.opened)
         });
         agreed && self.holders[daemon].confirm_opening(budget, &opening)
     }
@@ -112,7 +112,7 @@
         let Some(witness) = live else { return };
         self.outcome.messages += 2;
         let opened =
-            self.witness_marks[witness.0 as usize].close(killed_holder.incarnation, budget);
+            self.witness_records[witness.0 as usize].close(killed_holder.incarnation, budget);
         let (budget, holder) = (budget.clone(), killed_holder.incarnation);
         let request = Request::Reclaim { budget, holder, witness, opened };
         let event = Event::Requested(0, request);
@@ -156,7 +156,7 @@
         self.open(daemon, &budget, Tokens::MAX);
         let me = Incarnation(daemon as u64);
         let mut took = 2 * LINK_DELAY_MS;
-        for holder in 0..self.load.daemons {
+        for holder in 0..self.workload.daemons {
             let knows = self.holders[holder].accounts().contains_key(&budget);
             if holder == daemon || !knows {
                 continue;
--- a/crates/bench/src/budget_load.rs
+++ b/crates/bench/src/budget_workload.rs
@@ -37,7 +37,7 @@
 
 /// A workload.
 #[derive(Debug, Clone)]
-pub struct Load {
+pub struct Workload {
     /// Name of the workload.
     pub name: &'static str,
     /// Number of daemons.
@@ -60,10 +60,10 @@
     pub failures: Failures,
 }
 
-impl Load {
+impl Workload {
     /// Creates a workload with one budget and without failures.
     pub fn new(name: &'static str, daemons: usize, tokens: Tokens, rate: f64) -> Self {
-        Load {
+        Workload {
             name,
             daemons,
             budgets: 1,
--- a/crates/bench/src/hint_simulation.rs
+++ b/crates/bench/src/hint_simulation.rs
@@ -78,7 +78,7 @@
     /// A request reaches a server.
     ServerRequest { req: CallerRequest, choice: Choice, server: usize },
     /// A request ends at a server.
-    RequestEnd { server: usize, start: Millis },
+    RequestEnd { server: usize, started_ms: Millis },
     /// A server's response reaches a daemon.
     Response { req: CallerRequest, choice: Choice, head: ResponseHead },
     /// Leaving servers announced by a peer reach a daemon.
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Server {
     /// Time of its current start.
-    start: Millis,
+    started_ms: Millis,
     running: usize,
     is_leaving: bool,
     /// It rejects all requests and asks for this rest.
@@ -109,7 +109,7 @@
     router: Router,
     retry_schedule: RetrySchedule,
     /// Time from which it may pull the facts of a peer again.
-    next_pull_at: Millis,
+    next_fetch_at: Millis,
 }
 
 /// State of a run.
@@ -155,7 +155,7 @@
         let daemons = (0..setup.daemons)
             .map(|_| Daemon { router: daemon.router.clone(), ..Daemon::default() });
         let server = Server {
-            start: 1,
+            started_ms: 1,
             running: 0,
             is_leaving: false,
             shed_rest_ms: None,
@@ -263,8 +263,8 @@
             Event::ServerRequest { req, choice, server } => {
                 self.handle_server_request(req, choice, server)
             }
-            Event::RequestEnd { server, start } => {
-                if self.servers[server].start == start {
+            Event::RequestEnd { server, started_ms } => {
+                if self.servers[server].started_ms == started_ms {
                     self.servers[server].running -= 1;
                 }
             }
@@ -296,15 +296,15 @@
                 state.full_rest_ms = full_rest_ms;
             }
             Action::Restart => {
-                let start = self.now.max(2);
+                let started_ms = self.now.max(2);
                 *state = Server {
-                    start,
+                    started_ms,
                     running: 0,
                     is_leaving: false,
                     shed_rest_ms: None,
                     full_rest_ms: None,
                 };
-                self.table.servers[server].listed.started_ms = start;
+                self.table.servers[server].listed.started_ms = started_ms;
                 for daemon in &mut self.daemons {
                     daemon.router.adopt(&self.table);
                 }
@@ -361,29 +361,29 @@
     fn handle_server_request(&mut self, req: CallerRequest, choice: Choice, server: usize) {
         let now = self.now;
         let state = &mut self.servers[server];
-        let is_same_start = state.start == choice.started_ms;
-        if is_same_start {
-            self.check.record_arrival(req.daemon, server, state.start, now);
+        let is_same_instance = state.started_ms == choice.started_ms;
+        if is_same_instance {
+            self.check.record_arrival(req.daemon, server, state.started_ms, now);
         }
         let is_full = state.running >= self.setup.slots;
         let rest_ms = state.shed_rest_ms.or(state.full_rest_ms.filter(|_| is_full));
-        let ran = is_same_start && state.shed_rest_ms.is_none() && !is_full;
-        let head = ResponseHead { ran, is_leaving: is_same_start && state.is_leaving, rest_ms };
-        let start = state.start;
+        let ran = is_same_instance && state.shed_rest_ms.is_none() && !is_full;
+        let head = ResponseHead { ran, is_leaving: is_same_instance && state.is_leaving, rest_ms };
+        let started_ms = state.started_ms;
         if ran {
             state.running += 1;
             let (least, most) = self.setup.run_ms;
             let took = self.rng.random_range(least..=most);
-            self.events.at(now + took, Event::RequestEnd { server, start });
+            self.events.at(now + took, Event::RequestEnd { server, started_ms });
             let at = now + took + self.delay();
             self.events.at(at, Event::Response { req, choice, head });
             return;
         }
-        if is_same_start {
+        if is_same_instance {
             self.outcome.rejected += 1;
         }
-        if let Some(rest_ms) = rest_ms.filter(|_| is_same_start) {
-            self.check.record_rest(req.daemon, server, start, now, rest_ms);
+        if let Some(rest_ms) = rest_ms.filter(|_| is_same_instance) {
+            self.check.record_rest(req.daemon, server, started_ms, now, rest_ms);
         }
         let at = now + self.delay();
         self.events.at(at, Event::Response { req, choice, head });
--- a/crates/bench/src/hint_simulation/check.rs
+++ b/crates/bench/src/hint_simulation/check.rs
@@ -33,10 +33,10 @@
         &mut self,
         daemon: usize,
         server: usize,
-        start: Millis,
+        started_ms: Millis,
         now: Millis,
     ) {
-        self.arrivals.entry((daemon, server, start)).or_default().push(now);
+        self.arrivals.entry((daemon, server, started_ms)).or_default().push(now);
     }
 
     /// Records that the server asked the daemon for rest.
@@ -44,22 +44,22 @@
         &mut self,
         daemon: usize,
         server: usize,
-        start: Millis,
+        started_ms: Millis,
         now: Millis,
         rest_ms: Millis,
     ) {
-        self.rests.push(((daemon, server, start), now, rest_ms));
+        self.rests.push(((daemon, server, started_ms), now, rest_ms));
     }
 
     /// Records that the daemon received the announcement that this start is leaving.
-    pub(super) fn record_leaving(&mut self, daemon: usize, start: &ServerInstance, now: Millis) {
-        self.leaving_received_at.entry((daemon, start.clone())).or_insert(now);
-        self.first_received_at.entry(start.clone()).or_insert(now);
+    pub(super) fn record_leaving(&mut self, daemon: usize, instance: &ServerInstance, now: Millis) {
+        self.leaving_received_at.entry((daemon, instance.clone())).or_insert(now);
+        self.first_received_at.entry(instance.clone()).or_insert(now);
     }
 
     /// Returns when the first daemon received the announcement that this start is leaving.
-    pub(super) fn first_announcement(&self, start: &ServerInstance) -> Option<Millis> {
-        self.first_received_at.get(start).copied()
+    pub(super) fn first_announcement(&self, instance: &ServerInstance) -> Option<Millis> {
+        self.first_received_at.get(instance).copied()
     }
 
     /// Computes the counts of the outcome.
@@ -74,9 +74,9 @@
                     && fault.until + GRACE_MS >= from
             })
         };
-        for ((daemon, start), received_at) in &self.leaving_received_at {
-            let number = start.name.as_str()[1..].parse().unwrap_or_default();
-            let key = (*daemon, number, start.started_ms);
+        for ((daemon, instance), received_at) in &self.leaving_received_at {
+            let number = instance.name.as_str()[1..].parse().unwrap_or_default();
+            let key = (*daemon, number, instance.started_ms);
             let arrivals = self.arrivals.get(&key).into_iter().flatten();
             outcome.late_requests += arrivals
                 .filter(|at| {
--- a/crates/bench/src/hint_simulation/gossip.rs
+++ b/crates/bench/src/hint_simulation/gossip.rs
@@ -12,11 +12,11 @@
 /// Peers that a new signal is sent to.
 const FANOUT: usize = 10;
 /// Time for which signals are collected before they are sent, in milliseconds.
-const BATCH_DELAY_MS: Millis = 20;
+const BATCH_WINDOW_MS: Millis = 20;
 /// Shortest time between two pulls of a daemon, in milliseconds.
-const PULL_INTERVAL_MS: Millis = 1_000;
+const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
 /// Maximum number of facts in one pull.
-const MAX_PULLED: usize = 512;
+const MAX_FETCHED_FACTS: usize = 512;
 /// Size of an encoded signal in bytes: a name of about 12 bytes, a start time, an age and their
 /// lengths.
 const FACT_BYTES: u64 = 40;
@@ -24,27 +24,27 @@
 impl Simulation {
     /// Records the signals of a response, and sends new ones to peers.
     pub(super) fn observe(&mut self, daemon: usize, choice: &Choice, head: ResponseHead) {
-        let (now, start) = (self.now, choice.instance());
+        let (now, instance) = (self.now, choice.instance());
         if head.is_leaving {
-            self.check.record_leaving(daemon, &start, now);
-            if let Some(fact) = self.daemons[daemon].router.record_leaving(now, &start) {
-                self.announce_leaving(daemon, vec![fact]);
-                self.record_propagation(&start);
+            self.check.record_leaving(daemon, &instance, now);
+            if let Some(fact) = self.daemons[daemon].router.record_leaving(now, &instance) {
+                self.send_leaving(daemon, vec![fact]);
+                self.record_propagation(&instance);
             }
         }
         let Some(rest_ms) = head.rest_ms else { return };
         if self.setup.rest_handling == RestHandling::Ignored {
             return;
         }
-        let is_new = self.daemons[daemon].router.record_rest(now, &start, rest_ms);
+        let is_new = self.daemons[daemon].router.record_rest(now, &instance, rest_ms);
         if !is_new || self.setup.rest_handling != RestHandling::Told {
             return;
         }
         for to in self.peers(daemon, FANOUT) {
             self.outcome.bytes += FACT_BYTES;
-            let at = now + BATCH_DELAY_MS + self.delay();
-            let left_ms = rest_ms.saturating_sub(BATCH_DELAY_MS);
-            self.events.at(at, Event::Rest { to, server: start.clone(), left_ms });
+            let at = now + BATCH_WINDOW_MS + self.delay();
+            let left_ms = rest_ms.saturating_sub(BATCH_WINDOW_MS);
+            self.events.at(at, Event::Rest { to, server: instance.clone(), left_ms });
         }
     }
 
@@ -58,13 +58,13 @@
     }
 
     /// Sends leaving servers to random peers.
-    fn announce_leaving(&mut self, from: usize, facts: Vec<LeavingFact>) {
+    fn send_leaving(&mut self, from: usize, facts: Vec<LeavingFact>) {
         for to in self.peers(from, FANOUT) {
             self.outcome.bytes += FACT_BYTES * facts.len() as u64;
-            let at = self.now + BATCH_DELAY_MS + self.delay();
+            let at = self.now + BATCH_WINDOW_MS + self.delay();
             let aged = facts.iter().cloned();
             let facts =
-                aged.map(|f| LeavingFact { age_ms: f.age_ms + BATCH_DELAY_MS, ..f }).collect();
+                aged.map(|f| LeavingFact { age_ms: f.age_ms + BATCH_WINDOW_MS, ..f }).collect();
             self.events.at(at, Event::Leaving { to, facts });
         }
     }
@@ -76,7 +76,7 @@
             self.record_propagation(&fact.server);
         }
         if !new.is_empty() {
-            self.announce_leaving(to, new);
+            self.send_leaving(to, new);
         }
     }
 
@@ -101,20 +101,20 @@
             if is_suspended || digest(daemon) == digest(peer) {
                 continue;
             }
-            self.pull_facts(daemon, peer);
-            self.pull_facts(peer, daemon);
+            self.fetch_facts(daemon, peer);
+            self.fetch_facts(peer, daemon);
         }
     }
 
     /// Merges the facts of a peer, unless the puller has pulled facts recently.
-    fn pull_facts(&mut self, puller: usize, peer: usize) {
-        if self.now < self.daemons[puller].next_pull_at {
+    fn fetch_facts(&mut self, fetcher: usize, peer: usize) {
+        if self.now < self.daemons[fetcher].next_fetch_at {
             return;
         }
-        self.daemons[puller].next_pull_at = self.now + PULL_INTERVAL_MS;
+        self.daemons[fetcher].next_fetch_at = self.now + MIN_FETCH_INTERVAL_MS;
         let offset = self.rng.random_range(0..usize::MAX);
-        let facts = self.daemons[peer].router.leaving_facts(self.now, MAX_PULLED, offset);
+        let facts = self.daemons[peer].router.leaving_facts(self.now, MAX_FETCHED_FACTS, offset);
         self.outcome.bytes += FACT_BYTES * facts.len() as u64;
-        self.receive_leaving(puller, &facts);
+        self.receive_leaving(fetcher, &facts);
     }
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -3,9 +3,9 @@
 //! Each runs in one process, in simulated time and from a seed. The decision code is the daemon's
 //! own; network links and the store are simulated, and their use is counted.
 
-pub mod budget_load;
 pub mod budget_policy;
 pub mod budget_simulation;
+pub mod budget_workload;
 pub mod hint_simulation;
 pub mod limit_simulation;
 pub mod routing_simulation;
--- a/crates/bench/src/limit_simulation.rs
+++ b/crates/bench/src/limit_simulation.rs
@@ -41,7 +41,7 @@
 const MAX_PERMIT_REQUESTS: usize = 3;
 /// Time after a host's first response with a limit from which its requests count, in
 /// milliseconds.
-const GOSSIP_MS: Millis = 500;
+const HOST_GRACE_MS: Millis = 500;
 
 /// State of a run.
 pub struct Simulation {
@@ -53,7 +53,7 @@
     next_call_id: u64,
     daemons: Vec<Daemon>,
     fleet: Fleet,
-    starts: Vec<ServerInstance>,
+    instances: Vec<ServerInstance>,
     /// Index in `starts` of each server.
     index: HashMap<ServerInstance, usize>,
     /// Requests that wait for a permit, by the ID of the permit request.
@@ -81,9 +81,10 @@
     }
 
     fn new(setup: Setup) -> Self {
-        let start = |n: usize| ServerInstance { name: Name::from(format!("i-{n}")), started_ms: 1 };
-        let starts: Vec<ServerInstance> = (0..setup.servers.len()).map(start).collect();
-        let count = starts.len();
+        let instance =
+            |n: usize| ServerInstance { name: Name::from(format!("i-{n}")), started_ms: 1 };
+        let instances: Vec<ServerInstance> = (0..setup.servers.len()).map(instance).collect();
+        let count = instances.len();
         Simulation {
             rng: StdRng::seed_from_u64(setup.seed),
             now: 0,
@@ -91,8 +92,13 @@
             next_call_id: 0,
             daemons: (0..setup.daemons).map(|_| Daemon::new(count, 0)).collect(),
             fleet: Fleet::new(setup.seed, setup.daemons, &setup.faults),
-            index: starts.iter().cloned().enumerate().map(|(n, start)| (start, n)).collect(),
-            starts,
+            index: instances
+                .iter()
+                .cloned()
+                .enumerate()
+                .map(|(n, instance)| (instance, n))
+                .collect(),
+            instances,
             waiting_requests: HashMap::new(),
             first_response_at: HashMap::new(),
             announced_at: vec![None; count],
@@ -141,7 +147,7 @@
     fn new_request(&mut self) {
         self.outcome.requests += 1;
         let daemon = self.rng.random_range(0..self.daemons.len());
-        let first = self.rng.random_range(0..self.starts.len());
+        let first = self.rng.random_range(0..self.instances.len());
         let (first_at, arrived_at) = (self.now, self.now);
         let req =
             CallerRequest { daemon, first, first_at, arrived_at, retries: 0, permit_requests: 0 };
@@ -215,7 +221,7 @@
             Event::Facts { to, facts, sent_at } => self.receive_facts(to, facts, sent_at),
             Event::Heartbeat { daemon } => self.heartbeat(daemon),
             Event::DaemonStart { daemon } => {
-                self.daemons[daemon] = Daemon::new(self.starts.len(), self.now);
+                self.daemons[daemon] = Daemon::new(self.instances.len(), self.now);
             }
         }
     }
@@ -227,14 +233,14 @@
 
     /// Sends a request to the first server that is not skipped, or requests a permit for it.
     fn route(&mut self, mut req: CallerRequest) {
-        let (count, now) = (self.starts.len(), self.now);
+        let (count, now) = (self.instances.len(), self.now);
         let daemon = &mut self.daemons[req.daemon];
         let order = (0..count).map(|step| (req.first + step) % count);
         let Some(server) = order.into_iter().find(|server| now >= daemon.skipped_until[*server])
         else {
             return self.wait_or_refuse(req);
         };
-        let limit = daemon.limits.limit(&self.starts[server]);
+        let limit = daemon.limits.limit(&self.instances[server]);
         let Some(limit) = limit else { return self.send(&req, server) };
         match self.setup.enforcement {
             Enforcement::None => self.send(&req, server),
@@ -242,12 +248,12 @@
                 self.send_within_own_share(req, server, limit, self.setup.daemons, true)
             }
             Enforcement::FewHosts => {
-                let issuers = self.fleet.issuers(req.daemon, &self.starts[server], now);
+                let issuers = self.fleet.issuers(req.daemon, &self.instances[server], now);
                 let is_issuer = issuers.contains(&req.daemon);
                 self.send_within_own_share(req, server, limit, issuers.len(), is_issuer);
             }
             Enforcement::Permits => {
-                if daemon.leases.take(now, &self.starts[server]).is_some() {
+                if daemon.leases.take(now, &self.instances[server]).is_some() {
                     return self.send(&req, server);
                 }
                 if req.permit_requests == MAX_PERMIT_REQUESTS {
@@ -277,7 +283,7 @@
     /// Refuses a request; its caller retries after the delay of the retry schedule, or gives up.
     fn refuse(&mut self, req: CallerRequest, first_ms: Millis) {
         let daemon = &mut self.daemons[req.daemon];
-        let limits = self.starts.iter().filter_map(|start| daemon.limits.limit(start));
+        let limits = self.instances.iter().filter_map(|instance| daemon.limits.limit(instance));
         let per_second: f64 = limits.map(RequestRate::per_second).sum();
         let share = per_second / self.setup.daemons as f64;
         let service = Name::from("pool");
@@ -310,8 +316,10 @@
         self.outcome.served += 1;
         self.outcome.delay.saturating_record(now - req.first_at);
         self.outcome.arrivals[server].push(now);
-        let is_propagated =
-            self.first_response_at.get(&(daemon, server)).is_some_and(|at| now >= at + GOSSIP_MS);
+        let is_propagated = self
+            .first_response_at
+            .get(&(daemon, server))
+            .is_some_and(|at| now >= at + HOST_GRACE_MS);
         let is_bound = self.announced_at[server].is_some_and(|at| now > at + GRACE_MS);
         let was_recently_affected = self.setup.faults.was_recently_affected(daemon, now, GRACE_MS);
         if is_propagated && is_bound && !was_recently_affected {
--- a/crates/bench/src/limit_simulation/fault.rs
+++ b/crates/bench/src/limit_simulation/fault.rs
@@ -53,15 +53,15 @@
 
     /// Whether a message from one daemon reaches another. A suspended daemon receives it on resume.
     pub fn can_reach(&self, from: usize, to: usize, now: Millis) -> bool {
-        let cuts = self.0.iter().filter(|fault| fault.kind == FaultKind::Partition);
+        let partitions = self.0.iter().filter(|fault| fault.kind == FaultKind::Partition);
         let separates = |fault: &Fault| fault.is_on(from, now) != fault.is_on(to, now);
-        !cuts.into_iter().any(separates)
+        !partitions.into_iter().any(separates)
             && !self.is_affected(to, &[FaultKind::Restart, FaultKind::Absent], now)
     }
 
     /// Returns when the daemon resumes, if it is suspended.
     pub fn resumes_at(&self, daemon: usize, now: Millis) -> Option<Millis> {
-        let frozen = self.0.iter().filter(|fault| fault.kind == FaultKind::Suspended);
-        frozen.filter(|fault| fault.is_on(daemon, now)).map(|fault| fault.until).max()
+        let suspensions = self.0.iter().filter(|fault| fault.kind == FaultKind::Suspended);
+        suspensions.filter(|fault| fault.is_on(daemon, now)).map(|fault| fault.until).max()
     }
 }
--- a/crates/bench/src/limit_simulation/gossip.rs
+++ b/crates/bench/src/limit_simulation/gossip.rs
@@ -13,7 +13,7 @@
 /// Peers that a changed limit is sent to.
 const FANOUT: usize = 10;
 /// Time for which facts are collected before they are sent, in milliseconds.
-const BATCH_DELAY_MS: Millis = 20;
+const BATCH_WINDOW_MS: Millis = 20;
 /// Size of an encoded fact in bytes, as printed by the `slopes` benchmark.
 const FACT_BYTES: u64 = 53;
 
@@ -30,9 +30,9 @@
             self.announced_at[server].get_or_insert(self.now);
             self.first_response_at.entry((daemon, server)).or_insert(self.now);
         }
-        let start = self.starts[server].clone();
+        let instance = self.instances[server].clone();
         let change =
-            self.daemons[daemon].limits.record_response(self.now, &start, requested_at, header);
+            self.daemons[daemon].limits.record_response(self.now, &instance, requested_at, header);
         if let Some(change) = change {
             self.apply_change(daemon, change.fact);
         }
@@ -45,15 +45,15 @@
         {
             self.daemons[daemon].skipped_until[server] = 0;
         }
-        self.announce(daemon, vec![fact]);
+        self.send_facts(daemon, vec![fact]);
         self.record_propagation();
     }
 
     /// Records the time until all daemons know the limit of server 0.
     pub(super) fn record_propagation(&mut self) {
         let (Some(at), None) = (self.announced_at[0], self.outcome.propagation_ms) else { return };
-        let start = &self.starts[0];
-        if self.daemons.iter().all(|daemon| daemon.limits.limit(start).is_some()) {
+        let instance = &self.instances[0];
+        if self.daemons.iter().all(|daemon| daemon.limits.limit(instance).is_some()) {
             self.outcome.propagation_ms = Some(self.now - at);
         }
     }
@@ -67,7 +67,7 @@
     }
 
     /// Sends facts to random peers.
-    pub(super) fn announce(&mut self, from: usize, facts: Vec<LimitFact>) {
+    pub(super) fn send_facts(&mut self, from: usize, facts: Vec<LimitFact>) {
         if self.setup.enforcement == Enforcement::None {
             return;
         }
@@ -76,7 +76,7 @@
             let to = self.rng.random_range(0..self.daemons.len());
             self.outcome.bytes += FACT_BYTES * facts.len() as u64;
             if to != from && self.setup.faults.can_reach(from, to, self.now) {
-                let at = self.now + BATCH_DELAY_MS + self.delay();
+                let at = self.now + BATCH_WINDOW_MS + self.delay();
                 self.push(at, Event::Facts { to, facts: facts.clone(), sent_at });
             }
         }
@@ -85,7 +85,7 @@
     /// Merges facts that were collected for sending at `sent_at`.
     pub(super) fn receive_facts(&mut self, to: usize, mut facts: Vec<LimitFact>, sent_at: Millis) {
         // The ages in a fact include the time before it was sent, but not the time in transit.
-        let waited = BATCH_DELAY_MS.min(self.now - sent_at);
+        let waited = BATCH_WINDOW_MS.min(self.now - sent_at);
         for fact in &mut facts {
             fact.request_age_ms += waited;
             fact.received_age_ms += waited;
--- a/crates/bench/src/limit_simulation/permits.rs
+++ b/crates/bench/src/limit_simulation/permits.rs
@@ -44,13 +44,13 @@
     /// Requests permits from the first issuer that is not skipped.
     pub(super) fn request_permit(&mut self, req: CallerRequest, server: usize) {
         let (from, now) = (req.daemon, self.now);
-        let start = self.starts[server].clone();
-        let issuers = self.fleet.issuers(from, &start, now);
+        let instance = self.instances[server].clone();
+        let issuers = self.fleet.issuers(from, &instance, now);
         let daemon = &mut self.daemons[from];
-        let fact = daemon.limits.fact(now, &start).expect("the limit of the server is known");
-        let permits = daemon.leases.permits_to_request(now, &start);
+        let fact = daemon.limits.fact(now, &instance).expect("the limit of the server is known");
+        let permits = daemon.leases.permits_to_request(now, &instance);
         let request = PermitRequest { from: Incarnation(from as u64), permits, urgency: 0 };
-        if daemon.leases.is_scarce(now, &start) {
+        if daemon.leases.is_scarce(now, &instance) {
             daemon.skipped_until[server] = now + PERMIT_TIMEOUT_MS;
         }
         let issuer = issuers.into_iter().find(|issuer| now >= daemon.unresponsive_until(*issuer));
@@ -130,15 +130,15 @@
         request: PermitRequest,
     ) -> (Issued, bool, Option<LimitFact>) {
         self.merge_facts(at, std::slice::from_ref(fact));
-        let start = self.starts[server].clone();
-        let position = self.fleet.position(at, &start, self.now, self.daemons[at].started_at);
+        let instance = self.instances[server].clone();
+        let position = self.fleet.position(at, &instance, self.now, self.daemons[at].started_at);
         let daemon = &mut self.daemons[at];
-        let known = daemon.limits.fact(self.now, &start);
+        let known = daemon.limits.fact(self.now, &instance);
         let newer_fact = known.clone().filter(|known| known.limit != fact.limit);
         let Some(limit) = known.and_then(|known| known.limit) else {
             return (Issued { permits: 0, retry_ms: 0 }, true, newer_fact);
         };
-        (daemon.issuer.issue(self.now, &start, limit, position, request), false, newer_fact)
+        (daemon.issuer.issue(self.now, &instance, limit, position, request), false, newer_fact)
     }
 
     /// Adds issued permits to the leases, and sends the waiting request if it gets one.
@@ -152,11 +152,11 @@
         call_id: u64,
     ) {
         let Some(req) = self.waiting_requests.get(&call_id).cloned() else { return };
-        let (now, start) = (self.now, self.starts[server].clone());
+        let (now, instance) = (self.now, self.instances[server].clone());
         self.merge_facts(req.daemon, newer_fact.as_slice());
         let daemon = &mut self.daemons[req.daemon];
-        daemon.leases.add(requested_at, &start, issued.permits);
-        let may_send = is_unlimited || daemon.leases.take(now, &start).is_some();
+        daemon.leases.add(requested_at, &instance, issued.permits);
+        let may_send = is_unlimited || daemon.leases.take(now, &instance).is_some();
         if !may_send {
             return self.handle_denial(call_id, server, issued.retry_ms);
         }
@@ -170,7 +170,7 @@
         let Some(req) = self.waiting_requests.remove(&call_id) else { return };
         let daemon = &mut self.daemons[req.daemon];
         daemon.skipped_until[server] = self.now + retry_ms.max(1);
-        daemon.leases.record_denial(self.now, &self.starts[server]);
+        daemon.leases.record_denial(self.now, &self.instances[server]);
         self.route(req);
     }
 
