--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -11,7 +11,7 @@
 const SEED: u64 = 1;
 
 fn workloads() -> Vec<Workload> {
-    // A request costs at most about 350 tokens and on average 210, so 20 requests per second spend
+    // On average a request reserves about 350 tokens and spends 210, so 20 requests per second spend
     // about 250,000 tokens in a minute.
     let outage = Failures { store_outage: Some((15_000, 50_000)), ..Failures::default() };
     let daemon_killed = Failures { daemon_killed: Some(20_000), ..Failures::default() };
@@ -90,7 +90,7 @@
     for daemons in [8, 32, 128, 256] {
         let rate = 4.0 * daemons as f64;
         for (tokens, share) in [("plenty", 10.0), ("runs out", 0.6)] {
-            // A request spends about 210 tokens.
+            // A request spends 210 tokens on average.
             let budget_tokens = (rate * 10.0 * 210.0 * share) as u64;
             let mut workload = Workload::new("growth", daemons, budget_tokens, rate);
             workload.length_ms = 10_000;
--- a/crates/bench/benches/hints.rs
+++ b/crates/bench/benches/hints.rs
@@ -48,7 +48,7 @@
     print_row(label, &(0..SEEDS).map(|seed| Simulation::run(make(seed))).collect::<Vec<_>>());
 }
 
-/// A part of the servers rejects all requests for most of the run, as in the incident.
+/// A part of the servers rejects all requests for most of the run, as in a past incident.
 fn run_some_shedding(daemons: usize, rest_handling: RestHandling, max_wait_ms: u64) {
     run_and_print(&format!("{daemons} daemons, 4 of 12 shed, {rest_handling:?}"), |seed| {
         let actions = (0..4).map(|server| (5_000, server, Action::Shed(3_000)));
--- a/crates/bench/benches/slopes.rs
+++ b/crates/bench/benches/slopes.rs
@@ -186,7 +186,7 @@
     tracker
 }
 
-/// Returns this many leaving server starts.
+/// Returns this many leaving server instances.
 fn leaving_servers(servers: usize) -> LeavingServers {
     let mut leaving_servers = LeavingServers::default();
     for n in 0..servers {
--- a/crates/bench/src/budget_workload.rs
+++ b/crates/bench/src/budget_workload.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Draws the daemon of a request. Shifting demand moves through three halls in the time of the
-    /// workload.
+    /// Draws the daemon of a request. Shifting demand moves through three halls over the length of
+    /// the workload.
     fn daemon_at(&self, at: f64, rng: &mut StdRng) -> usize {
         if !self.shifting {
             return rng.random_range(0..self.daemons);
--- a/crates/bench/src/hint_simulation.rs
+++ b/crates/bench/src/hint_simulation.rs
@@ -1,4 +1,4 @@
-//! Simulation of a fleet of daemons that sends requests to servers which leave and ask for rest.
+//! Simulation of a fleet of daemons that sends requests to servers that leave or ask for rest.
 //!
 //! Each daemon has the router of the real daemon. Links have delays, and faults partition,
 //! suspend, restart, add and remove daemons.
@@ -66,7 +66,7 @@
     rest_ms: Option<Millis>,
 }
 
-/// An event. Daemons and servers are given by index, and a server's start by its time.
+/// An event. Daemons and servers are given by index, and a server instance by its start time.
 #[derive(Debug)]
 enum Event {
     /// A caller starts a new request.
@@ -94,7 +94,7 @@
 /// State of a server.
 #[derive(Debug, Clone, Copy)]
 struct Server {
-    /// Time of its current start.
+    /// Time at which its current instance was started.
     started_ms: Millis,
     running: usize,
     is_leaving: bool,
@@ -108,7 +108,7 @@
 struct Daemon {
     router: Router,
     retry_schedule: RetrySchedule,
-    /// Time from which it may pull the facts of a peer again.
+    /// Time from which it may fetch the facts of a peer again.
     next_fetch_at: Millis,
 }
 
@@ -312,7 +312,8 @@
         }
     }
 
-    /// Sends a request to the server that the daemon's router chooses, or waits or refuses it.
+    /// Sends a request to the server that the daemon's router chooses. If there is none, the request
+    /// waits or is refused.
     fn route(&mut self, req: CallerRequest) {
         let now = self.now;
         let seed = self.rng.random();
--- a/crates/bench/src/hint_simulation/check.rs
+++ b/crates/bench/src/hint_simulation/check.rs
@@ -12,7 +12,7 @@
 /// Time after a signal from which it binds the daemon, in milliseconds.
 const GRACE_MS: Millis = 500;
 
-/// Daemon, server and time of the server's start.
+/// Daemon, server and start time of the server's instance.
 type ArrivalKey = (usize, usize, Millis);
 
 /// Requests and signals between daemons and servers.
@@ -21,7 +21,7 @@
     arrivals: HashMap<ArrivalKey, Vec<Millis>>,
     /// Requested rests with their time and length.
     rests: Vec<(ArrivalKey, Millis, Millis)>,
-    /// Time at which each daemon received the announcement of each leaving start.
+    /// Time at which each daemon received the announcement of each leaving instance.
     leaving_received_at: HashMap<(usize, ServerInstance), Millis>,
     /// Time at which the first daemon received it.
     first_received_at: HashMap<ServerInstance, Millis>,
@@ -51,13 +51,13 @@
         self.rests.push(((daemon, server, started_ms), now, rest_ms));
     }
 
-    /// Records that the daemon received the announcement that this start is leaving.
+    /// Records that the daemon received the announcement that this instance is leaving.
     pub(super) fn record_leaving(&mut self, daemon: usize, instance: &ServerInstance, now: Millis) {
         self.leaving_received_at.entry((daemon, instance.clone())).or_insert(now);
         self.first_received_at.entry(instance.clone()).or_insert(now);
     }
 
-    /// Returns when the first daemon received the announcement that this start is leaving.
+    /// Returns when the first daemon received the announcement that this instance is leaving.
     pub(super) fn first_announcement(&self, instance: &ServerInstance) -> Option<Millis> {
         self.first_received_at.get(instance).copied()
     }
--- a/crates/bench/src/hint_simulation/gossip.rs
+++ b/crates/bench/src/hint_simulation/gossip.rs
@@ -7,17 +7,17 @@
 
 use super::{Event, HEARTBEAT_MS, ResponseHead, RestHandling, Simulation};
 
-/// Peers that one heartbeat is sent to.
+/// Number of peers that one heartbeat is sent to.
 const HEARTBEAT_FANOUT: usize = 2;
-/// Peers that a new signal is sent to.
+/// Number of peers that a new fact is sent to.
 const FANOUT: usize = 10;
-/// Time for which signals are collected before they are sent, in milliseconds.
+/// Time for which facts are collected before they are sent, in milliseconds.
 const BATCH_WINDOW_MS: Millis = 20;
-/// Shortest time between two pulls of a daemon, in milliseconds.
+/// Minimum interval between two fetches of a daemon, in milliseconds.
 const MIN_FETCH_INTERVAL_MS: Millis = 1_000;
-/// Maximum number of facts in one pull.
+/// Maximum number of facts that one fetch returns.
 const MAX_FETCHED_FACTS: usize = 512;
-/// Size of an encoded signal in bytes: a name of about 12 bytes, a start time, an age and their
+/// Size of an encoded fact in bytes: a name of about 12 bytes, a start time, an age and their
 /// lengths.
 const FACT_BYTES: u64 = 40;
 
@@ -57,7 +57,7 @@
         drawn.into_iter().filter(reached).collect()
     }
 
-    /// Sends leaving servers to random peers.
+    /// Sends facts about leaving servers to random peers.
     fn send_leaving(&mut self, from: usize, facts: Vec<LeavingFact>) {
         for to in self.peers(from, FANOUT) {
             self.outcome.bytes += FACT_BYTES * facts.len() as u64;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Merges leaving servers sent by a peer, and sends the new ones on.
+    /// Merges facts about leaving servers from a peer, and forwards the new ones.
     pub(super) fn receive_leaving(&mut self, to: usize, facts: &[LeavingFact]) {
         let new = self.daemons[to].router.merge_leaving(self.now, facts);
         for fact in &new {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Compares digests with random peers; daemons whose digests differ pull each other's facts.
+    /// Compares digests with random peers; daemons whose digests differ fetch each other's facts.
     pub(super) fn heartbeat(&mut self, daemon: usize) {
         self.events.at(self.now + HEARTBEAT_MS, Event::Heartbeat { daemon });
         self.daemons[daemon].router.remove_expired_hints(self.now);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Merges the facts of a peer, unless the puller has pulled facts recently.
+    /// Fetches and merges the facts of a peer, unless `fetcher` has fetched facts recently.
     fn fetch_facts(&mut self, fetcher: usize, peer: usize) {
         if self.now < self.daemons[fetcher].next_fetch_at {
             return;
--- a/crates/bench/src/hint_simulation/setup.rs
+++ b/crates/bench/src/hint_simulation/setup.rs
@@ -25,7 +25,7 @@
     Shed(Millis),
     /// It rejects only requests beyond its slots, and asks for this rest then, in milliseconds.
     Serve(Option<Millis>),
-    /// It restarts; the new start is listed and serves.
+    /// It restarts; the new instance is listed and serves.
     Restart,
 }
 
--- a/crates/bench/src/limit_simulation.rs
+++ b/crates/bench/src/limit_simulation.rs
@@ -54,7 +54,7 @@
     daemons: Vec<Daemon>,
     fleet: Fleet,
     instances: Vec<ServerInstance>,
-    /// Index in `starts` of each server.
+    /// Index in `instances` of each server.
     index: HashMap<ServerInstance, usize>,
     /// Requests that wait for a permit, by the ID of the permit request.
     waiting_requests: HashMap<u64, CallerRequest>,
--- a/crates/bench/src/limit_simulation/gossip.rs
+++ b/crates/bench/src/limit_simulation/gossip.rs
@@ -8,9 +8,9 @@
 use super::event::Event;
 use super::{Enforcement, HEARTBEAT_MS, Simulation};
 
-/// Peers that one heartbeat is sent to.
+/// Number of peers that one heartbeat is sent to.
 const HEARTBEAT_FANOUT: usize = 2;
-/// Peers that a changed limit is sent to.
+/// Number of peers that a changed limit is sent to.
 const FANOUT: usize = 10;
 /// Time for which facts are collected before they are sent, in milliseconds.
 const BATCH_WINDOW_MS: Millis = 20;
--- a/crates/bench/src/limit_simulation/permits.rs
+++ b/crates/bench/src/limit_simulation/permits.rs
@@ -10,8 +10,9 @@
 const PERMIT_TIMEOUT_MS: Millis = 100;
 /// Time for which an issuer that timed out is skipped, in milliseconds.
 const UNRESPONSIVE_MS: Millis = 1_000;
-/// Size in bytes of a permit request with its response (83 for the bodies, as printed by the
-/// `slopes` benchmark, plus the framing of the calls) and of a fact (53).
+/// Estimated size of a permit request with its response, in bytes. The bodies have 83 bytes, which
+/// include the fact of 53 bytes in the request; the `slopes` benchmark prints both sizes. The rest
+/// is an allowance for the framing of the call and for the fact that the response may contain.
 const PERMIT_CALL_BYTES: u64 = 220;
 
 impl Simulation {
@@ -91,8 +92,8 @@
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
     /// Issues permits for a request of a peer, and responds.
+    #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
     pub(super) fn handle_permit_request(
         &mut self,
         from: usize,
@@ -174,7 +175,7 @@
         self.route(req);
     }
 
-    /// Skips the issuer for a while, and handles the timeout as a denial.
+    /// Skips the issuer for [`UNRESPONSIVE_MS`], and handles the timeout as a denial.
     pub(super) fn handle_timeout(&mut self, call_id: u64, server: usize, peer: usize) {
         let Some(req) = self.waiting_requests.get(&call_id) else { return };
         self.daemons[req.daemon].unresponsive_until.insert(peer, self.now + UNRESPONSIVE_MS);
--- a/crates/bench/src/limit_simulation/window.rs
+++ b/crates/bench/src/limit_simulation/window.rs
@@ -1,5 +1,5 @@
-//! Check of a server's limit by counting its requests in time windows, as the owner of the
-//! server counts them.
+//! Check of a server's limit by counting its requests in time windows, as the operator of
+//! the server counts them.
 
 use bankcove_core::Millis;
 
--- a/crates/bench/tests/hint_fleet.rs
+++ b/crates/bench/tests/hint_fleet.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn ignored_rest_periods_exceed_the_allowed_requests() {
+fn ignoring_rest_periods_is_detected() {
     let actions = vec![(2_000, 0, Action::Shed(3_000))];
     let outcome =
         Simulation::run(Setup { rest_handling: RestHandling::Ignored, ..setup(1, 4, 3, actions) });
