--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -11,8 +11,8 @@
 const SEED: u64 = 1;
 
 fn workloads() -> Vec<Workload> {
-    // On average a request reserves about 350 tokens and spends 210, so 20 requests per second spend
-    // about 250,000 tokens in a minute.
+    // On average a request reserves about 350 tokens and spends 210, so 20 requests per second
+    // spend about 250,000 tokens in a minute.
     let outage = Failures { store_outage: Some((15_000, 50_000)), ..Failures::default() };
     let daemon_killed = Failures { daemon_killed: Some(20_000), ..Failures::default() };
     let partition = Failures {
--- a/crates/bench/src/hint_simulation.rs
+++ b/crates/bench/src/hint_simulation.rs
@@ -312,8 +312,8 @@
         }
     }
 
-    /// Sends a request to the server that the daemon's router chooses. If there is none, the request
-    /// waits or is refused.
+    /// Sends a request to the server that the daemon's router chooses. If there is none, the
+    /// request waits or is refused.
     fn route(&mut self, req: CallerRequest) {
         let now = self.now;
         let seed = self.rng.random();
