--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -33,7 +33,7 @@
         let updates = crashes.change(now, |tracker| tracker.record_crash(now, &server));
         crashes.process_updates(&updates, Origin::Local);
     } else {
-        slog::info!(crashes.fleet.base.log, "connection to server broke but the server has not crashed"; "server" => %server.name);
+        slog::info!(crashes.fleet.base.log, "server broke off and has not crashed"; "server" => %server.name);
         crashes.change(now, |tracker| tracker.record_alive(&server));
     }
 }
