--- a/crates/bench/src/budget_load.rs
+++ b/crates/bench/src/budget_workload.rs
@@ -37,7 +37,7 @@
 
 /// A workload.
 #[derive(Debug, Clone)]
-pub struct Load {
+pub struct Workload {
     /// Name of the workload.
     pub name: &'static str,
     /// Number of daemons.
@@ -60,10 +60,10 @@
     pub failures: Failures,
 }
 
-impl Load {
+impl Workload {
     /// Creates a workload with one budget and without failures.
     pub fn new(name: &'static str, daemons: usize, tokens: Tokens, rate: f64) -> Self {
-        Load {
+        Workload {
             name,
             daemons,
             budgets: 1,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Draws the daemon of a request. Shifting demand moves through three halls in the time of the
-    /// workload.
+    /// Draws the daemon of a request. Shifting demand moves through three halls over the length of
+    /// the workload.
     fn daemon_at(&self, at: f64, rng: &mut StdRng) -> usize {
         if !self.shifting {
             return rng.random_range(0..self.daemons);
--- a/crates/core/tests/direct_draws.rs
+++ b/crates/core/tests/direct_draws.rs
@@ -42,11 +42,12 @@
                     self.fleet.draw(n, short.missing, fault);
                     let now = self.fleet.now;
                     let daemon = &mut self.fleet.daemons[n];
-                    let again = daemon.holder.reserve(&budget(), tokens, now);
-                    daemon.open.extend(again);
+                    let reservation = daemon.holder.reserve(&budget(), tokens, now);
+                    daemon.open.extend(reservation);
                     return;
                 }
-                // The newest reservation stays open, and the one before it is settled.
+                // The new reservation is dropped unsettled, so the holder keeps its tokens reserved.
+                // The newest one of those that had to draw is settled.
                 if let Some(reservation) = daemon.open.pop() {
                     self.spent += used.min(reservation.tokens());
                     daemon.holder.settle(reservation, used);
--- a/crates/core/tests/forwarded_draws.rs
+++ b/crates/core/tests/forwarded_draws.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Otherwise the ledger of a budget would grow by one grant with each restart of a daemon.
+/// Guards against a ledger that grows by one grant with each restart of a daemon.
 #[test]
 fn an_earlier_incarnation_leaves_the_ledger_after_a_draw_of_its_successor() {
     let mut world = World::new();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_holder_that_keeps_for_the_fleet_has_the_share_of_all_holders() {
+fn a_holder_that_prefetches_for_the_fleet_has_the_share_of_all_holders() {
     let mut world = World::new();
     for n in 0..DAEMONS {
         world.draw(n, 0, 10, StoreFault::None);
--- a/crates/core/tests/freshness_by_gossip.rs
+++ b/crates/core/tests/freshness_by_gossip.rs
@@ -1,11 +1,11 @@
 //! Age of a view that daemons only receive from each other.
 //!
 //! Guards against views that seem current although no daemon reads the store. One of 87 hosts,
-//! which could reach the store, answered by a table that had been replaced 4.6 s before. The
+//! which could reach the store, answered a request from a table that had been replaced 4.6 s before. The
 //! store was down for 5 s, then most hosts were cut off from it; from 5 to 10.8 s this host read
 //! neither the table nor the servers, since peers reported current views, though no daemon had
 //! read the store since 2.4 s. Ages were counted from the receipt of a heartbeat, so each hop
-//! made the view younger by the transit time of some 10 to 300 ms, and the youngest age won.
+//! reduced the age by the transit time of some 10 to 300 ms, and the smallest age was used.
 
 use bankcove_core::Millis;
 use bankcove_core::freshness::Freshness;
@@ -23,7 +23,7 @@
 
 /// Returns the smallest age of a view at `until`, if all daemons read the store at 1 s and never
 /// again. Ages are counted from the request for them if `from_request`, else from their receipt.
-fn youngest_age(from_request: bool, until: Millis) -> Millis {
+fn smallest_age(from_request: bool, until: Millis) -> Millis {
     let mut views = vec![Freshness::default(); DAEMONS];
     for view in &mut views {
         view.record_table_read(1_000);
@@ -48,11 +48,11 @@
 #[test]
 fn ages_counted_from_the_request_are_never_too_small() {
     for until in [2_000, 6_000, 11_000, 31_000] {
-        assert!(youngest_age(true, until) >= until - 1_000, "at {until} ms");
+        assert!(smallest_age(true, until) >= until - 1_000, "at {until} ms");
     }
 }
 
 #[test]
 fn ages_counted_from_the_receipt_hide_a_stale_view() {
-    assert!(youngest_age(false, 31_000) < STALE_VIEW_MS);
+    assert!(smallest_age(false, 31_000) < STALE_VIEW_MS);
 }
--- a/crates/daemon/src/crashes/gossip.rs
+++ b/crates/daemon/src/crashes/gossip.rs
@@ -85,8 +85,8 @@
         self.digest.load(Ordering::Relaxed)
     }
 
-    /// Drops expired crashes, blocks and clearances.
-    pub fn forget_old(&self) {
+    /// Removes expired crashes, blocks and clearances.
+    pub fn remove_expired(&self) {
         let now = self.fleet.base.clock.now();
         if self.is_active.load(Ordering::Relaxed) {
             self.change(now, |tracker| tracker.remove_expired(now));
--- a/crates/daemon/src/crashes/verify.rs
+++ b/crates/daemon/src/crashes/verify.rs
@@ -33,7 +33,7 @@
         let updates = crashes.change(now, |tracker| tracker.record_crash(now, &server));
         crashes.process_updates(&updates, Origin::Local);
     } else {
-        slog::info!(crashes.fleet.base.log, "connection to server broke but the server has not crashed"; "server" => %server.name);
+        slog::info!(crashes.fleet.base.log, "server broke off and has not crashed"; "server" => %server.name);
         crashes.change(now, |tracker| tracker.record_alive(&server));
     }
 }
@@ -48,7 +48,7 @@
             ProbeResult::Accepted => return false,
             ProbeResult::NoAnswer => {}
         }
-        // The server is gone from the list, or another start of it is listed.
+        // The server is gone from the list, or another instance of it is listed.
         if !crashes.router.lock().is_current_instance(&server.name, server.started_ms) {
             return true;
         }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -55,7 +55,7 @@
     pub view: Arc<View>,
     /// Crash state of this daemon.
     pub crashes: Arc<Crashes>,
-    /// Signals of backend servers.
+    /// Hints of backend servers.
     pub hints: Arc<Hints>,
     /// Notified when the number of prompt tokens that servers still have to read for this daemon
     /// has changed.
@@ -201,8 +201,8 @@
             .router
             .lock()
             .remove_expired_unread_reports(membership.fleet.base.clock.now());
-        membership.crashes.forget_old();
-        membership.hints.forget_old();
+        membership.crashes.remove_expired();
+        membership.hints.remove_expired();
         send_round(&membership).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
