--- a/crates/bench/src/budget_simulation.rs
+++ b/crates/bench/src/budget_simulation.rs
@@ -218,7 +218,7 @@
         self.outcome
     }
 
-    /// Whether the daemon can reach the store now.
+    /// Returns whether the daemon can reach the store now.
     fn can_reach_store(&self, daemon: usize) -> bool {
         let within = |span: Option<(Millis, Millis)>| {
             span.is_some_and(|(from, to)| (from..to).contains(&self.now))
@@ -228,7 +228,7 @@
         !within(self.workload.failures.store_outage) && !is_partitioned
     }
 
-    /// Whether the daemon is among those that a partition separates from the store.
+    /// Returns whether the daemon is among those that a partition separates from the store.
     fn is_in_upper_half(&self, daemon: usize) -> bool {
         daemon >= self.workload.daemons / 2
     }
@@ -237,7 +237,7 @@
         daemon == 1 && self.workload.failures.daemon_killed.is_some_and(|at| self.now >= at)
     }
 
-    /// Whether two daemons can reach each other now.
+    /// Returns whether two daemons can reach each other now.
     fn can_reach(&self, one: usize, two: usize) -> bool {
         let partition = self.workload.failures.partition;
         let partition = partition.is_some_and(|(from, to)| (from..to).contains(&self.now));
--- a/crates/bench/src/limit_simulation/fault.rs
+++ b/crates/bench/src/limit_simulation/fault.rs
@@ -39,19 +39,20 @@
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Whether a fault of one of these kinds affects the daemon now.
+    /// Returns whether a fault of one of these kinds affects the daemon now.
     pub fn is_affected(&self, daemon: usize, kinds: &[FaultKind], now: Millis) -> bool {
         self.0.iter().any(|fault| kinds.contains(&fault.kind) && fault.is_on(daemon, now))
     }
 
-    /// Whether any fault affects the daemon now or ended in the last `span` milliseconds.
+    /// Returns whether any fault affects the daemon now or ended in the last `span` milliseconds.
     pub fn was_recently_affected(&self, daemon: usize, now: Millis, span: Millis) -> bool {
         self.0.iter().any(|fault| {
             fault.daemons.contains(&daemon) && fault.from <= now && now < fault.until + span
         })
     }
 
-    /// Whether a message from one daemon reaches another. A suspended daemon receives it on resume.
+    /// Returns whether a message from one daemon reaches another. A suspended daemon receives it on
+    /// resume.
     pub fn can_reach(&self, from: usize, to: usize, now: Millis) -> bool {
         let partitions = self.0.iter().filter(|fault| fault.kind == FaultKind::Partition);
         let separates = |fault: &Fault| fault.is_on(from, now) != fault.is_on(to, now);
--- a/crates/bench/src/limit_simulation/fleet.rs
+++ b/crates/bench/src/limit_simulation/fleet.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the daemon `at` considers `daemon` a member.
+    /// Returns whether the daemon `at` considers `daemon` a member.
     fn is_listed(&self, at: usize, daemon: usize, now: Millis) -> bool {
         let seen = now.saturating_sub(self.membership_lags[at]);
         let is_absent = |(from, until): &(Millis, Millis)| {
--- a/crates/bench/src/routing_simulation.rs
+++ b/crates/bench/src/routing_simulation.rs
@@ -229,7 +229,7 @@
         self.now >= self.length_ms / 2
     }
 
-    /// Whether the server refuses connections now.
+    /// Returns whether the server refuses connections now.
     fn refuses(&self, server: usize) -> bool {
         self.fault == Fault::HallGone && self.is_fault_active() && server % self.halls == 0
     }
--- a/crates/core/src/crashes/decision.rs
+++ b/crates/core/src/crashes/decision.rs
@@ -33,7 +33,7 @@
 /// a further routing choice.
 const MAX_RANKS: usize = 8;
 
-/// Whether so many crashes in so many incidents are enough to block a request.
+/// Returns whether so many crashes in so many incidents are enough to block a request.
 pub(super) fn is_sufficient(crashes: usize, incidents: usize) -> bool {
     crashes >= CRASHES_TO_BLOCK && incidents >= MIN_INCIDENTS
 }
@@ -90,7 +90,7 @@
         self.pending.schedule(now, running.iter().copied().filter(has_enough));
     }
 
-    /// Whether requests are waiting for a decision.
+    /// Returns whether requests are waiting for a decision.
     pub fn has_pending(&self) -> bool {
         !self.pending.due.is_empty()
     }
@@ -140,7 +140,7 @@
         is_conclusive.then_some(crashes)
     }
 
-    /// Whether all crashes against the request count against another request as well.
+    /// Returns whether all crashes against the request count against another request as well.
     fn is_indistinguishable(&self, request: Fingerprint) -> bool {
         let evidence = self.evidence_against(request).servers;
         let Some(first) = evidence.first() else { return false };
--- a/crates/core/src/crashes/facts.rs
+++ b/crates/core/src/crashes/facts.rs
@@ -69,7 +69,7 @@
 }
 
 impl CrashFacts {
-    /// Whether there are no facts.
+    /// Returns whether there are no facts.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty() && self.blocks.is_empty()
     }
--- a/crates/core/src/crashes/history.rs
+++ b/crates/core/src/crashes/history.rs
@@ -59,7 +59,7 @@
         self.dropped
     }
 
-    /// Whether this server instance is known to have crashed.
+    /// Returns whether this server instance is known to have crashed.
     pub(super) fn contains(&self, server: &ServerInstance) -> bool {
         self.crashes.contains_key(server)
     }
@@ -115,7 +115,7 @@
         expired.iter().for_each(|server| self.remove(server));
     }
 
-    /// Whether a crash of this age is sent to peers.
+    /// Returns whether a crash of this age is sent to peers.
     pub(super) fn is_reportable(age_ms: Millis) -> bool {
         age_ms < MAX_REPORTED_AGE_MS
     }
@@ -163,14 +163,14 @@
         Evidence { servers: crashes.into_iter().map(|(server, _)| server).collect(), incidents }
     }
 
-    /// Whether a server that was running the request crashed after `from` and up to `to`.
+    /// Returns whether a server that was running the request crashed after `from` and up to `to`.
     pub(super) fn crashed_between(&self, request: Fingerprint, from: Millis, to: Millis) -> bool {
         let servers = self.by_request.get(&request).into_iter().flatten();
         let mut crashes = servers.filter_map(|server| self.crashes.get(server));
         crashes.any(|crash| crash.at > from && crash.at <= to)
     }
 
-    /// Whether both crashes happened at the same time as the crash of a server that was not
+    /// Returns whether both crashes happened at the same time as the crash of a server that was not
     /// running `request`.
     fn has_common_cause(
         &self,
--- a/crates/core/src/crashes/tracker.rs
+++ b/crates/core/src/crashes/tracker.rs
@@ -83,7 +83,7 @@
 }
 
 impl CrashTracker {
-    /// Whether nothing is recorded, so that no request has to be looked up.
+    /// Returns whether nothing is recorded, so that no request has to be looked up.
     pub fn is_empty(&self) -> bool {
         let has_crashes = self.history.len() > 0 || !self.unverified.is_empty();
         !has_crashes && self.blocked.is_empty() && self.cleared.is_empty()
@@ -115,7 +115,7 @@
         if crashes + 1 >= CRASHES_TO_BLOCK { Verdict::Suspect } else { Verdict::Allowed }
     }
 
-    /// Whether a success of this request would change the state.
+    /// Returns whether a success of this request would change the state.
     pub fn tracks(&self, request: Fingerprint) -> bool {
         self.history.crash_count(request) > 0 || self.blocked.contains_key(&request)
     }
@@ -169,7 +169,7 @@
         CrashFacts { cleared: vec![Cleared { request, age_ms: 0 }], ..CrashFacts::default() }
     }
 
-    /// Whether crashes up to `at` no longer count against the request.
+    /// Returns whether crashes up to `at` no longer count against the request.
     pub fn is_cleared_since(&self, request: Fingerprint, at: Millis) -> bool {
         self.cleared.get(&request).is_some_and(|clearance| clearance.at >= at)
     }
@@ -288,7 +288,7 @@
         updates
     }
 
-    /// Whether the request is blocked.
+    /// Returns whether the request is blocked.
     pub(super) fn is_blocked(&self, request: Fingerprint) -> bool {
         self.blocked.contains_key(&request)
     }
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -33,7 +33,7 @@
         Some(RawEvent { id: id_of(&raw), raw })
     }
 
-    /// Whether the buffer is empty, without a partial event.
+    /// Returns whether the buffer is empty, without a partial event.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -67,7 +67,7 @@
         Some(now.saturating_sub(at))
     }
 
-    /// Whether the view may be older than `limit`; true before all parts were received.
+    /// Returns whether the view may be older than `limit`; true before all parts were received.
     pub fn is_older_than(&self, limit: Millis, now: Millis) -> bool {
         self.age(now).is_none_or(|age| age > limit)
     }
--- a/crates/core/src/hints/leaving.rs
+++ b/crates/core/src/hints/leaving.rs
@@ -29,7 +29,7 @@
 }
 
 impl LeavingServers {
-    /// Whether this instance is leaving.
+    /// Returns whether this instance is leaving.
     pub fn contains(&self, server: &ServerInstance) -> bool {
         self.known.contains_key(server)
     }
@@ -69,7 +69,7 @@
         rotated.take(max_count).map(fact).collect()
     }
 
-    /// Whether no leaving server is known.
+    /// Returns whether no leaving server is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/core/src/hints/rest_periods.rs
+++ b/crates/core/src/hints/rest_periods.rs
@@ -43,7 +43,7 @@
         self.known.get(server).map_or(0, |rest| rest.until)
     }
 
-    /// Whether no rest period is stored.
+    /// Returns whether no rest period is stored.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/core/src/limits/issuer.rs
+++ b/crates/core/src/limits/issuer.rs
@@ -196,7 +196,7 @@
         permits
     }
 
-    /// Whether a request has to wait because a more urgent one recently got no permit.
+    /// Returns whether a request has to wait because a more urgent one recently got no permit.
     fn yields_to_urgent(&mut self, now: Millis, permits_per_ms: f64, urgency: u32) -> bool {
         let Some((most_urgent, at)) = self.unserved else { return false };
         if urgency <= most_urgent || now > at + URGENT_PRIORITY_MS || self.permits >= BURST {
--- a/crates/core/src/limits/leases.rs
+++ b/crates/core/src/limits/leases.rs
@@ -71,8 +71,8 @@
         self.leases.entry(server.clone()).or_default().denied_at = Some(now);
     }
 
-    /// Whether permits were denied recently. Callers should then ask for one request at a time,
-    /// because each denied request makes the others wait longer.
+    /// Returns whether permits were denied recently. Callers should then ask for one request at a
+    /// time, because each denied request makes the others wait longer.
     pub fn is_scarce(&self, now: Millis, server: &ServerInstance) -> bool {
         let denied_at = self.leases.get(server).and_then(|lease| lease.denied_at);
         denied_at.is_some_and(|at| now < at + SCARCE_MS)
--- a/crates/core/src/limits/tracker.rs
+++ b/crates/core/src/limits/tracker.rs
@@ -154,7 +154,7 @@
         rotated.take(max_count).map(|(server, known)| known.fact(now, server)).collect()
     }
 
-    /// Whether no limit is stored, neither one in force nor a lifted one.
+    /// Returns whether no limit is stored, neither one in force nor a lifted one.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -177,7 +177,7 @@
     }
 }
 
-/// Whether `limit` allows more requests than `other`.
+/// Returns whether `limit` allows more requests than `other`.
 fn is_laxer(limit: Option<RequestRate>, other: Option<RequestRate>) -> bool {
     match (limit, other) {
         (_, None) => false,
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -129,7 +129,8 @@
 }
 
 impl Peer {
-    /// Whether requests should be sent to it: it is a member, not stopping and not suspected.
+    /// Returns whether requests should be sent to it: it is a member, not stopping and not
+    /// suspected.
     pub fn is_usable(&self) -> bool {
         self.listed && !self.stopping && self.failures < SUSPECT_AFTER_FAILURES
     }
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -20,7 +20,8 @@
         &self.0
     }
 
-    /// Whether the text consists of 1 to 64 ASCII letters, digits, dots, dashes or underscores.
+    /// Returns whether the text consists of 1 to 64 ASCII letters, digits, dots, dashes or
+    /// underscores.
     pub fn is_well_formed(&self) -> bool {
         let text = self.as_str();
         let length_fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
--- a/crates/core/src/owner/collection.rs
+++ b/crates/core/src/owner/collection.rs
@@ -27,7 +27,7 @@
 }
 
 impl Collection {
-    /// Whether the result is recent enough for a request that arrived at `arrived`.
+    /// Returns whether the result is recent enough for a request that arrived at `arrived`.
     fn is_valid_for(&self, now: Millis, arrived: Millis) -> bool {
         let is_fresh = |started: Millis| started >= arrived || now < started + self.interval;
         self.finished && self.started.is_some_and(is_fresh)
--- a/crates/core/src/owner/machine.rs
+++ b/crates/core/src/owner/machine.rs
@@ -40,7 +40,7 @@
 }
 
 impl Pending {
-    /// Whether the request is served now, without waiting for others to share its write.
+    /// Returns whether the request is served now, without waiting for others to share its write.
     fn is_due(&self, now: Millis) -> bool {
         let is_prefetch = matches!(&self.request, Request::Draw(draw) if draw.need == 0);
         !is_prefetch || now >= self.arrived + PREFETCH_DELAY_MS
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Whether the write rate allows a write now; schedules a wake-up if it doesn't.
+    /// Returns whether the write rate allows a write now; schedules a wake-up if it doesn't.
     fn may_write(&mut self, now: Millis, commands: &mut Vec<Command>) -> bool {
         let burst = WRITE_BURST * self.write_interval;
         let write_at = self.write_quota_used_until.saturating_sub(burst);
--- a/crates/core/src/owner/machine/draw.rs
+++ b/crates/core/src/owner/machine/draw.rs
@@ -139,7 +139,7 @@
         Decision::AfterWrite(Outcome::Transfer { own_grant, max, need, reply })
     }
 
-    /// Whether a prefetching draw has to wait for others; schedules a wake-up if it does.
+    /// Returns whether a prefetching draw has to wait for others; schedules a wake-up if it does.
     fn must_wait_for_others(
         &mut self,
         now: Millis,
--- a/crates/core/src/server_list.rs
+++ b/crates/core/src/server_list.rs
@@ -93,7 +93,7 @@
 }
 
 impl ListVersion {
-    /// Whether a list was received.
+    /// Returns whether a list was received.
     pub fn is_some(self) -> bool {
         self.at > 0
     }
@@ -137,9 +137,9 @@
         if is_same_start && is_read_since { known.clone() } else { self }
     }
 
-    /// Whether the platform's entry `update` is no change to this one. An entry that only counts
-    /// down the cold start, or ends it at the expected time, is no change: each version of the
-    /// list is sent to every daemon.
+    /// Returns whether the platform's entry `update` is no change to this one. An entry that only
+    /// counts down the cold start, or ends it at the expected time, is no change: each version of
+    /// the list is sent to every daemon.
     fn is_unchanged_by(&self, now: Millis, update: &ListedServer) -> bool {
         if self.server == *update {
             return true;
@@ -280,9 +280,9 @@
         true
     }
 
-    /// Whether this daemon has itself read the platform's list up to a peer's version; if so, the
-    /// version is raised to the peer's. The peer's list could restore entries that were added
-    /// and removed since.
+    /// Returns whether this daemon has itself read the platform's list up to a peer's version; if
+    /// so, the version is raised to the peer's. The peer's list could restore entries that were
+    /// added and removed since.
     fn has_read(&mut self, version: ListVersion) -> bool {
         let has_read = version.at <= self.read_to;
         if has_read {
--- a/crates/core/src/server_list/update.rs
+++ b/crates/core/src/server_list/update.rs
@@ -66,8 +66,8 @@
         registered.fold(0, |sum, entry| sum ^ digest_term(&entry.server))
     }
 
-    /// Whether this list differs from a peer's after the peer's changes were applied: outages and
-    /// expired entries may hide changes. The full list must then be requested.
+    /// Returns whether this list differs from a peer's after the peer's changes were applied:
+    /// outages and expired entries may hide changes. The full list must then be requested.
     pub fn needs_full_list(&self) -> bool {
         self.needs_full_list
     }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -171,7 +171,7 @@
         self.grants.get(&holder).map_or(0, |grant| grant.granted)
     }
 
-    /// Whether `holder` has no grant and the maximum number of grants is reached.
+    /// Returns whether `holder` has no grant and the maximum number of grants is reached.
     pub fn is_full_for(&self, holder: Incarnation) -> bool {
         self.grants.len() >= MAX_GRANTS && !self.grants.contains_key(&holder)
     }
@@ -281,12 +281,12 @@
         self.top_ups.drain(..surplus);
     }
 
-    /// Whether a top-up with this ID is recorded.
+    /// Returns whether a top-up with this ID is recorded.
     pub fn has_top_up(&self, id: &str) -> bool {
         self.top_ups.iter().any(|top_up| top_up.id == id)
     }
 
-    /// Whether `holder` is recorded as retired.
+    /// Returns whether `holder` is recorded as retired.
     pub fn has_retired(&self, holder: Incarnation) -> bool {
         self.retired_holders.contains(&holder)
     }
--- a/crates/core/src/store_read_policy.rs
+++ b/crates/core/src/store_read_policy.rs
@@ -73,7 +73,7 @@
 }
 
 impl StoreReadPolicy {
-    /// Whether this daemon reads the store for its hall.
+    /// Returns whether this daemon reads the store for its hall.
     fn is_reader(&self) -> bool {
         let is_top_ranked = self.rank < self.readers;
         // Before the list is received, each daemon ranks itself first.
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -60,7 +60,7 @@
         self.records.values().map(HashMap::len).sum()
     }
 
-    /// Whether there are no records.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/tests/crash_fleet/simulation.rs
+++ b/crates/core/tests/crash_fleet/simulation.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether a fault of one of these kinds began by now and has lasted beyond `since`.
+    /// Returns whether a fault of one of these kinds began by now and has lasted beyond `since`.
     pub fn has_fault(&self, daemon: usize, kinds: &[FaultKind], since: Millis) -> bool {
         let applies = |fault: &Fault| {
             fault.daemon == daemon
@@ -97,12 +97,12 @@
         self.faults.iter().any(applies)
     }
 
-    /// Whether the daemon is suspended or restarting.
+    /// Returns whether the daemon is suspended or restarting.
     pub fn is_down(&self, daemon: usize) -> bool {
         self.has_fault(daemon, &[FaultKind::Suspension, FaultKind::Restart], self.now)
     }
 
-    /// Whether the daemon has had no fault for the propagation time.
+    /// Returns whether the daemon has had no fault for the propagation time.
     pub fn is_connected(&self, daemon: usize) -> bool {
         let since = self.now.saturating_sub(PROPAGATION_MS);
         !self.has_fault(
@@ -112,7 +112,7 @@
         )
     }
 
-    /// Whether both daemons are running and not partitioned.
+    /// Returns whether both daemons are running and not partitioned.
     pub fn reaches(&self, a: usize, b: usize) -> bool {
         ![a, b].iter().any(|one| {
             self.is_down(*one) || self.has_fault(*one, &[FaultKind::Partition], self.now)
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Whether this daemon is the owner of the request among the daemons that it reaches, and is
-    /// not running a copy of it.
+    /// Returns whether this daemon is the owner of the request among the daemons that it reaches,
+    /// and is not running a copy of it.
     pub fn may_run_isolated(&self, daemon: usize, request: Fingerprint) -> bool {
         let score = |one: usize| (request.0 as usize + one * 31) % 97;
         let others = (0..self.trackers.len()).filter(|other| self.reaches(daemon, *other));
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -34,7 +34,7 @@
     files
 }
 
-/// Whether a source text uses the module of this path below the crate.
+/// Returns whether a source text uses the module of this path below the crate.
 fn uses(text: &str, layer: &str) -> bool {
     // Grouped imports would not be detected.
     assert!(!text.contains("use crate::{"), "each module needs an import line of its own");
