--- a/crates/core/src/outage.rs
+++ b/crates/core/src/outage.rs
@@ -7,12 +7,12 @@
 
 use crate::Millis;
 
-/// Age that the last contact with the store may have while the store is reachable, in
+/// Age that the last contact with the store may have while the store is available, in
 /// milliseconds: readers contact it every 1.5 s, and heartbeats take another 0.5 to 1 s to
 /// spread this.
 const USUAL_STORE_AGE_MS: Millis = 2_500;
 
-/// Retry delay while the store seems reachable, in milliseconds: the retry goes to another
+/// Retry delay while the store seems available, in milliseconds: the retry goes to another
 /// daemon, which reaches an owner that this one did not.
 const OTHER_DAEMON_RETRY_MS: Millis = 300;
 
--- a/crates/daemon/src/base.rs
+++ b/crates/daemon/src/base.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct Base {
     pub cfg: Arc<Config>,
-    /// Identifier of this start of the daemon.
+    /// Identifier of this incarnation of the daemon.
     pub incarnation: Incarnation,
     pub clock: Clock,
     pub log: Logger,
--- a/crates/daemon/src/budget/owner.rs
+++ b/crates/daemon/src/budget/owner.rs
@@ -222,7 +222,7 @@
     match outcome {
         WriteOutcome::Written(version) => Event::Written(version),
         WriteOutcome::Conflict(now) => conflict(&budgets, shard, now),
-        // The read that resolves it shows whether the store is reachable.
+        // The read that resolves it shows whether the store is available.
         WriteOutcome::Ambiguous => Event::Ambiguous,
         WriteOutcome::NotSent => {
             budgets.fleet.connectivity.record_store_failure(budgets.fleet.base.clock.now());
--- a/crates/daemon/src/crashes/persistence.rs
+++ b/crates/daemon/src/crashes/persistence.rs
@@ -25,10 +25,10 @@
 /// Pause between two checks whether the store answers this daemon or a peer.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The store counts as reachable for this time after its last answer, in milliseconds.
+/// The store counts as available for this time after its last answer, in milliseconds.
 const MAX_STORE_AGE_MS: Millis = 2_000;
 
-/// Number of attempts to read the blocks of earlier starts; by then peers have reported them.
+/// Number of attempts to read the blocks of earlier incarnations; by then peers have reported them.
 const MAX_READS: u32 = 10;
 
 /// Stored form of all blocks.
@@ -46,7 +46,7 @@
     servers: Vec<Name>,
 }
 
-/// Reads the blocks of earlier starts, then writes each new block, until the daemon ends.
+/// Reads the blocks of earlier incarnations, then writes each new block, until the daemon ends.
 pub async fn persist_blocks(crashes: Arc<Crashes>) {
     tokio::select! {
         () = read_then_write(&crashes) => {}
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -31,7 +31,7 @@
 /// A daemon with all its state.
 pub struct Daemon {
     pub cfg: Arc<Config>,
-    /// Identifier of this start of the daemon.
+    /// Identifier of this incarnation of the daemon.
     pub incarnation: Incarnation,
     pub clock: Clock,
     pub log: Logger,
--- a/crates/daemon/src/entry/backend.rs
+++ b/crates/daemon/src/entry/backend.rs
@@ -63,18 +63,18 @@
 /// HTTP client for all backend servers.
 #[derive(Debug)]
 pub struct BackendClient {
-    /// Client for servers of which only one start is known.
+    /// Client for servers of which only one instance is known.
     shared: HttpClient,
-    /// Latest start of the server at each address.
-    starts: Mutex<HashMap<String, Start>>,
+    /// Latest instance of the server at each address.
+    instances: Mutex<HashMap<String, Instance>>,
 }
 
-/// The start of a server to which requests are sent.
+/// The instance of a server to which requests are sent.
 #[derive(Debug)]
-struct Start {
+struct Instance {
     started_ms: Millis,
-    /// Its own client, if requests were sent to an earlier start at the same address: if that
-    /// start's host lost power, connections to it may hang for [`TCP_USER_TIMEOUT`].
+    /// Its own client, if requests were sent to an earlier instance at the same address: if
+    /// that instance's host lost power, connections to it may hang for [`TCP_USER_TIMEOUT`].
     own: Option<HttpClient>,
 }
 
@@ -95,22 +95,22 @@
 impl BackendClient {
     /// Creates a client without connections.
     pub fn new() -> Self {
-        BackendClient { shared: new_client(), starts: Mutex::default() }
+        BackendClient { shared: new_client(), instances: Mutex::default() }
     }
 
-    /// Returns the client for this start of a server.
+    /// Returns the client for this instance of a server.
     fn client_for(&self, address: &str, started_ms: Millis) -> HttpClient {
         if started_ms == 0 {
             return self.shared.clone();
         }
-        let mut starts = self.starts.lock();
-        if let Some(known) = starts.get_mut(address) {
+        let mut instances = self.instances.lock();
+        if let Some(known) = instances.get_mut(address) {
             if known.started_ms != started_ms {
-                *known = Start { started_ms, own: Some(new_client()) };
+                *known = Instance { started_ms, own: Some(new_client()) };
             }
             return known.own.clone().unwrap_or_else(|| self.shared.clone());
         }
-        starts.insert(address.to_owned(), Start { started_ms, own: None });
+        instances.insert(address.to_owned(), Instance { started_ms, own: None });
         self.shared.clone()
     }
 
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -46,13 +46,13 @@
 const RETIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a starting daemon waits to read the platform's list before it announces itself: the
-/// entry of an earlier start may still be there. A read takes some 10 ms.
+/// entry of an earlier incarnation may still be there. A read takes some 10 ms.
 const LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Greatest age of a list, relative to this start, at which it counts as current, in
-/// milliseconds. An older one may stem from an earlier start of this host that has since been
-/// shut down gracefully. Peers of a fleet that lost power together read the list up to a second
-/// before this start.
+/// milliseconds. An older one may stem from an earlier incarnation on this host that has since
+/// been shut down gracefully. Peers of a fleet that lost power together read the list up to a
+/// second before this start.
 const MAX_LIST_AGE_AT_START_MS: i64 = 1_000;
 
 /// Interval between attempts to announce this host to the platform.
@@ -262,11 +262,11 @@
 }
 
 /// Keeps this host on the platform's list: checks each list that is read, and announces the
-/// host if it is missing. An earlier start may have left it on the list.
+/// host if it is missing. An earlier incarnation may have left it on the list.
 async fn keep_announced(daemon: Arc<Daemon>) {
     let host = own_host(&daemon);
     let check_interval = Duration::from_millis(daemon.cfg.limits.host_list_ms);
-    // An earlier start that was shut down gracefully withdrew the host before it ended.
+    // An earlier incarnation that was shut down gracefully withdrew the host before it ended.
     let mut known_since = -MAX_LIST_AGE_AT_START_MS;
     let mut is_announced = false;
     // Continues with the list or, after the timeout, without it.
